--- a/benchmarks/decision_cost_benchmark.cc
+++ b/benchmarks/decision_cost_benchmark.cc
@@ -38,8 +38,8 @@
   return {NodeId("node-" + std::to_string(index)), Incarnation(1)};
 }
 
-RequestFacts Request(std::uint64_t ticket, const Clock& clock) {
-  RequestFacts facts;
+RequestMetadata Request(std::uint64_t ticket, const Clock& clock) {
+  RequestMetadata facts;
   facts.ticket = RequestTicket(ticket);
   facts.caller = CallerHash(ticket % 1000);
   facts.key = KeyHash(ticket % 10'007);
@@ -50,7 +50,7 @@
 
 AdmissionController::Parameters WarmTarget() {
   AdmissionController::Parameters parameters;
-  parameters.slots = 12;
+  parameters.declared_concurrency = 12;
   parameters.connections = 110;
   parameters.starts_cold = false;
   return parameters;
@@ -80,7 +80,7 @@
     ejection.OnAnnounced(Target(index), false);
     for (int run = 0; run < 20; ++run) {
       ejection.OnSent(Target(index));
-      ejection.OnFinished(Target(index), RunOutcome::kDone,
+      ejection.OnFinished(Target(index), TargetCallOutcome::kDone,
                           std::chrono::milliseconds(20));
     }
   }
@@ -119,7 +119,7 @@
     ++ticket;
     admission.Offer(Request(ticket, clock));
     clock.Advance(std::chrono::milliseconds(1));
-    admission.OnFinished(RequestTicket(ticket), RunOutcome::kDone,
+    admission.OnFinished(RequestTicket(ticket), TargetCallOutcome::kDone,
                          std::chrono::milliseconds(1));
   }
 }
@@ -128,7 +128,7 @@
 // Long enough a wait for the queue to keep its length without credit.
 AdmissionController::Parameters PatientTarget() {
   AdmissionController::Parameters parameters = WarmTarget();
-  parameters.standing_wait = std::chrono::seconds(10);
+  parameters.max_wait_without_credit = std::chrono::seconds(10);
   return parameters;
 }
 
@@ -141,7 +141,7 @@
   std::vector<RequestTicket> running;
   while (admission.Status().waiting <
          static_cast<std::size_t>(state.range(0))) {
-    const RequestFacts facts = Request(next++, clock);
+    const RequestMetadata facts = Request(next++, clock);
     const AdmissionDecision decision = admission.Offer(facts);
     if (decision.verdict == AdmissionDecision::Verdict::kAdmitted) {
       running.push_back(facts.ticket);
@@ -158,7 +158,7 @@
       return;
     }
     clock.Advance(std::chrono::microseconds(10));
-    admission.OnFinished(running.back(), RunOutcome::kDone,
+    admission.OnFinished(running.back(), TargetCallOutcome::kDone,
                          std::chrono::milliseconds(20));
     running.pop_back();
     for (const RequestTicket ticket : admission.Poll().admitted) {
--- a/benchmarks/forwarding.cc
+++ b/benchmarks/forwarding.cc
@@ -83,7 +83,7 @@
     TargetAnnouncement announcement;
     announcement.service = kService;
     announcement.address = target.address().ToString();
-    announcement.slots = 12;
+    announcement.concurrency = 12;
     announcement.connections = 16;
     announcement.state = TargetAnnouncement::State::kServing;
     dispatcher.OnAnnouncement(announcement);
--- a/benchmarks/load_policy_divided_mesh.h
+++ b/benchmarks/load_policy_divided_mesh.h
@@ -92,7 +92,7 @@
 
   void AddNode(std::size_t index, bool cold) {
     AdmissionController::Parameters parameters;
-    parameters.slots = scenario().slots_per_target;
+    parameters.declared_concurrency = scenario().slots_per_target;
     parameters.connections = scenario().connections_per_target;
     parameters.starts_cold = cold;
     m_nodes.push_back(std::make_unique<LoadPolicyTargetNode>(
@@ -102,9 +102,9 @@
   }
 
   void OnRunEnded(const LoadPolicyRequest& request,
-                  RunOutcome outcome,
+                  TargetCallOutcome outcome,
                   Clock::Duration) override {
-    if (outcome == RunOutcome::kDone) {
+    if (outcome == TargetCallOutcome::kDone) {
       listener().OnDone(request);
     }
   }
@@ -128,7 +128,7 @@
     SendCooledKeysHome();
     const std::vector<MemberLoad> members = MemberLoads();
     for (std::size_t index = 0; index < m_nodes.size(); ++index) {
-      const MovePlan plan =
+      const RebalancingPlan plan =
           m_planners[index]->Plan(MemberOf(index), SlotLoadsOf(index), members);
       CarryOut(index, plan);
     }
@@ -187,7 +187,7 @@
     return hottest;
   }
 
-  void CarryOut(std::size_t planner, const MovePlan& plan) {
+  void CarryOut(std::size_t planner, const RebalancingPlan& plan) {
     for (const KeyIsolation& isolation : plan.isolations) {
       Slot& home = m_slots[isolation.from.value()];
       const double share = HottestKey(home)->load;
--- a/benchmarks/load_policy_entry_node.h
+++ b/benchmarks/load_policy_entry_node.h
@@ -44,7 +44,7 @@
 
   void OnFinished(const TargetId& id,
                   WorkClass work_class,
-                  RunOutcome outcome,
+                  TargetCallOutcome outcome,
                   Clock::Duration latency) {
     PickerOf(work_class).OnFinished(id);
     ejection.OnFinished(id, outcome, latency);
@@ -53,7 +53,7 @@
 
   void SetEligible(const TargetId& id) {
     for (TargetPicker& picker : pickers) {
-      picker.SetEligible(id, ejection.MayReceive(id));
+      picker.SetEligible(id, ejection.IsEligible(id));
     }
   }
 
--- a/benchmarks/load_policy_request.h
+++ b/benchmarks/load_policy_request.h
@@ -3,14 +3,14 @@
 #include <cstddef>
 
 #include "modules/coordination/clock.h"
-#include "modules/coordination/load/request_facts.h"
+#include "modules/coordination/load/request_metadata.h"
 #include "modules/coordination/load/retry_allowance.h"
 
 namespace citrongrade {
 
 // One try of one caller, with what only the simulation knows of it.
 struct LoadPolicyRequest {
-  RequestFacts facts;
+  RequestMetadata facts;
   // How long a healthy target needs for it.
   Clock::Duration work{0};
   Clock::TimePoint sent;
--- a/benchmarks/load_policy_target_node.h
+++ b/benchmarks/load_policy_target_node.h
@@ -19,7 +19,7 @@
    public:
     virtual ~Listener() = default;
     virtual void OnRunEnded(const LoadPolicyRequest& request,
-                            RunOutcome outcome,
+                            TargetCallOutcome outcome,
                             Clock::Duration latency) = 0;
     virtual void OnTurnedAway(const LoadPolicyRequest& request,
                               const Refusal& refusal,
@@ -89,7 +89,8 @@
     m_loop.After(kHop, [this, request, given] {
       m_target.Run(request, [this, request, given](Clock::Duration) {
         m_loop.After(kHop, [this, request, given] {
-          OnEnd(request.facts.ticket, RunOutcome::kDone, m_loop.Now() - given);
+          OnEnd(request.facts.ticket, TargetCallOutcome::kDone,
+                m_loop.Now() - given);
         });
       });
     });
@@ -97,12 +98,13 @@
 
   void CancelAtTarget(RequestTicket ticket) {
     if (m_target.Cancel(ticket)) {
-      OnEnd(ticket, RunOutcome::kUnknown, m_loop.Now() - m_given.at(ticket));
+      OnEnd(ticket, TargetCallOutcome::kUnknown,
+            m_loop.Now() - m_given.at(ticket));
     }
   }
 
   void OnEnd(RequestTicket ticket,
-             RunOutcome outcome,
+             TargetCallOutcome outcome,
              Clock::Duration latency) {
     m_admission.OnFinished(ticket, outcome, latency);
     const LoadPolicyRequest request = Take(ticket);
--- a/benchmarks/load_policy_undivided_mesh.h
+++ b/benchmarks/load_policy_undivided_mesh.h
@@ -41,7 +41,7 @@
   }
 
   void Send(const LoadPolicyRequest& request) override {
-    EntryOf(request).retries.OnFirstTry();
+    EntryOf(request).retries.OnFirstAttempt();
     SendTo(request, PickerFor(request).Pick());
   }
 
@@ -85,7 +85,7 @@
 
   void AddNode(std::size_t index, bool cold) {
     AdmissionController::Parameters parameters;
-    parameters.slots = scenario().slots_per_target;
+    parameters.declared_concurrency = scenario().slots_per_target;
     parameters.connections = scenario().connections_per_target;
     parameters.starts_cold = cold;
     m_nodes.push_back(std::make_unique<LoadPolicyTargetNode>(
@@ -148,11 +148,11 @@
 
   // The entry stops waiting at the deadline, whatever the target does.
   void OnDeadline(const LoadPolicyRequest& request) {
-    EndAtEntry(request, RunOutcome::kUnknown);
+    EndAtEntry(request, TargetCallOutcome::kUnknown);
   }
 
   std::optional<TargetId> EndAtEntry(const LoadPolicyRequest& request,
-                                     RunOutcome outcome) {
+                                     TargetCallOutcome outcome) {
     const auto found = m_sent_to.find(request.facts.ticket);
     if (found == m_sent_to.end()) {
       return std::nullopt;
@@ -165,10 +165,10 @@
   }
 
   void OnRunEnded(const LoadPolicyRequest& request,
-                  RunOutcome outcome,
+                  TargetCallOutcome outcome,
                   Clock::Duration) override {
     EndAtEntry(request, outcome);
-    if (outcome == RunOutcome::kDone) {
+    if (outcome == TargetCallOutcome::kDone) {
       listener().OnDone(request);
     }
   }
@@ -176,9 +176,9 @@
   void OnTurnedAway(const LoadPolicyRequest& request,
                     const Refusal& refusal,
                     bool) override {
-    const auto refused_by = EndAtEntry(request, RunOutcome::kNotRun);
+    const auto refused_by = EndAtEntry(request, TargetCallOutcome::kNotRun);
     LoadPolicyEntryNode& entry = EntryOf(request);
-    if (refused_by && entry.retries.TryRetry(request.allowance)) {
+    if (refused_by && entry.retries.TryAcquire(request.allowance)) {
       LoadPolicyRequest retry = request;
       retry.allowance = request.allowance.AfterRetry();
       SendTo(retry, PickerFor(retry).Pick(refused_by));
--- a/benchmarks/report_grants_benchmark.cc
+++ b/benchmarks/report_grants_benchmark.cc
@@ -12,7 +12,7 @@
 
 #include "modules/coordination/manual_clock.h"
 #include "modules/coordination/mesh/mesh_timing.h"
-#include "modules/coordination/mesh/reported_holds.h"
+#include "modules/coordination/mesh/polling_hold_tracker.h"
 
 namespace citrongrade {
 
@@ -28,8 +28,8 @@
 constexpr milliseconds kHour{3'600'000};
 constexpr int kLosses = 20;
 
-OwnedRun WholeTable() {
-  OwnedRun run;
+SlotAssignment WholeTable() {
+  SlotAssignment run;
   run.range = {0, kSlotCount - 1};
   run.owner = "self";
   run.fence = 1;
@@ -40,7 +40,7 @@
  public:
   Target(std::uint64_t seed, milliseconds lease, double lost)
       : m_random(seed), m_lease(lease), m_lost(lost), m_holds(m_clock, lease) {
-    m_holds.SetOwned({WholeTable()});
+    m_holds.SetAssignments({WholeTable()});
   }
 
   struct Outcome {
@@ -54,11 +54,11 @@
     while (m_clock.Now() < end) {
       const Clock::TimePoint sent = m_clock.Now();
       const bool is_held = sent < m_held_until;
-      ReportedHolds::Report report;
+      PollingHoldTracker::Report report;
       if (is_held)
         report.held.push_back({WholeTable().range, 1});
       m_holds.OnReport(report);
-      const bool waits = !m_holds.HasNews();
+      const bool waits = !m_holds.HasPendingChanges();
       m_clock.Advance(milliseconds(waits ? kAnswerWaitMs : 1));
       Answer(sent, outcome);
       const int period = kReportMs + Jitter();
@@ -76,9 +76,9 @@
     const MeshTiming timing;
     // The node's last heartbeat was answered up to a heartbeat ago.
     const milliseconds age(std::uniform_int_distribution<>(
-        0, static_cast<int>(timing.heartbeat.count()))(m_random));
+        0, static_cast<int>(timing.heartbeat_interval.count()))(m_random));
     const auto statement =
-        m_holds.MakeStatement(sent, m_clock.Now() + m_lease - age);
+        m_holds.MakeGrantReply(sent, m_clock.Now() + m_lease - age);
     const bool is_lost =
         std::uniform_real_distribution<>(0, 1)(m_random) < m_lost;
     if (is_lost || !statement)
@@ -96,7 +96,7 @@
   std::mt19937_64 m_random;
   const milliseconds m_lease;
   const double m_lost;
-  ReportedHolds m_holds;
+  PollingHoldTracker m_holds;
   Clock::TimePoint m_held_until;
 };
 
@@ -112,11 +112,13 @@
     const auto any = [&random](int most) {
       return std::uniform_int_distribution<>(0, most)(random);
     };
-    const int lease_left = static_cast<int>(lease.count()) -
-                           any(static_cast<int>(timing.heartbeat.count()));
+    const int lease_left =
+        static_cast<int>(lease.count()) -
+        any(static_cast<int>(timing.heartbeat_interval.count()));
     const int phase = any(kReportMs);
     const int wait = phase < kAnswerWaitMs ? 1 : kReportMs - phase;
-    times.push_back(lease_left + static_cast<int>(timing.drift.count()) +
+    times.push_back(lease_left +
+                    static_cast<int>(timing.max_clock_drift.count()) +
                     any(kLeaderStepMs) + wait);
   }
   std::sort(times.begin(), times.end());
@@ -143,6 +145,7 @@
 int main(int argc, char** argv) {
   using std::chrono::milliseconds;
   const citrongrade::MeshTiming timing;
-  citrongrade::Play(argc > 1 ? milliseconds(std::atoi(argv[1])) : timing.lease);
+  citrongrade::Play(argc > 1 ? milliseconds(std::atoi(argv[1]))
+                             : timing.min_lease);
   return 0;
 }
--- a/modules/coordination/load/admission_controller.cc
+++ b/modules/coordination/load/admission_controller.cc
@@ -22,17 +22,17 @@
 namespace acc = boost::accumulators;
 
 // Part of the limit that either class of work always has.
-constexpr std::size_t kGuaranteedPart = 4;
+constexpr std::size_t kGuaranteedLimitDivisor = 4;
 
 // How fast the memory of short work's demand fades.
-constexpr std::chrono::duration<double> kDemandMemory(2.0);
+constexpr std::chrono::duration<double> kDemandTimeConstant(2.0);
 
 // Below this, short work counts as absent and long work may take everything.
-constexpr double kNoDemand = 0.05;
+constexpr double kNegligibleDemand = 0.05;
 
 // Long work may wait for this many of its own run times: by the standing wait
 // of short work alone, no upload could ever wait for the one before it.
-constexpr int kLongRunsToWait = 2;
+constexpr int kMaxLongWaitInRuns = 2;
 
 std::size_t IndexOf(WorkClass work_class) {
   return static_cast<std::size_t>(work_class);
@@ -44,9 +44,9 @@
 
 // Without progress for this many of the longest run expected, a target is
 // frozen; one that is merely ten times slower goes on ending runs.
-constexpr int kStallRuns = 10;
+constexpr int kStallThresholdInRuns = 10;
 
-constexpr int kMostAfterStall = 2;
+constexpr int kMaxSampleFactorAfterStall = 2;
 
 // Mean of how much short work runs or waits, fading over kDemandMemory.
 class DemandAverage {
@@ -63,7 +63,7 @@
 
   double average() const {
     const std::chrono::duration<double> held = m_clock.Now() - m_updated;
-    const double kept = std::exp(-held / kDemandMemory);
+    const double kept = std::exp(-held / kDemandTimeConstant);
     return m_demand + (m_average - m_demand) * kept;
   }
 
@@ -81,23 +81,24 @@
   bool reported_overdue = false;
 };
 
-BurstCredit::Parameters CreditFor(
+BurstCredit::Parameters BurstCreditParametersFor(
     const AdmissionController::Parameters& parameters) {
-  const double capacity =
-      static_cast<double>(parameters.slots) * ToSeconds(parameters.burst);
-  return {capacity, capacity / ToSeconds(parameters.burst_refill)};
+  const double capacity = static_cast<double>(parameters.declared_concurrency) *
+                          ToSeconds(parameters.burst_duration);
+  return {capacity, capacity / ToSeconds(parameters.burst_refill_time)};
 }
 
-ConcurrencyLimit::Parameters LimitFor(
+ConcurrencyLimit::Parameters ConcurrencyLimitParametersFor(
     const AdmissionController::Parameters& parameters) {
   ConcurrencyLimit::Parameters limit;
-  limit.declared_slots = parameters.slots;
+  limit.declared_concurrency = parameters.declared_concurrency;
   limit.declared_connections = parameters.connections;
   return limit;
 }
 
-ColdStartRamp RampFor(const Clock& clock,
-                      const AdmissionController::Parameters& parameters) {
+ColdStartRamp MakeColdStartRamp(
+    const Clock& clock,
+    const AdmissionController::Parameters& parameters) {
   if (parameters.starts_cold) {
     return {clock, parameters.ramp};
   }
@@ -113,40 +114,41 @@
        const Parameters& parameters)
       : m_clock(clock),
         m_parameters(parameters),
-        m_limit(clock, LimitFor(parameters)),
-        m_ramp(RampFor(clock, parameters)),
-        m_credit(clock, CreditFor(parameters)),
+        m_limit(clock, ConcurrencyLimitParametersFor(parameters)),
+        m_ramp(MakeColdStartRamp(clock, parameters)),
+        m_credit(clock, BurstCreditParametersFor(parameters)),
         m_pacer(clock, random, RetryAfterPacer::Parameters{}),
         m_queues{RequestQueue(parameters.short_queue),
                  RequestQueue(parameters.long_queue)},
-        m_times{ServiceTimeEstimator(parameters.initial_short_time),
-                ServiceTimeEstimator(parameters.initial_long_time)},
+        m_service_times{
+            ServiceTimeEstimator(parameters.initial_short_service_time),
+            ServiceTimeEstimator(parameters.initial_long_service_time)},
         m_short_demand(clock),
         m_last_progress(clock.Now()),
         m_last_sweep(clock.Now()) {
     UpdateLoad();
   }
 
-  AdmissionDecision Offer(const RequestFacts& facts) {
+  AdmissionDecision Offer(const RequestMetadata& facts) {
     if (m_stopped) {
       return Refuse(facts.work_class, RefusalReason::kTargetLeaving, {});
     }
-    if (CanStartAtOnce(facts.work_class)) {
-      return OfferToFreeSlot(facts);
+    if (CanStartImmediately(facts.work_class)) {
+      return StartOrRefuseOffered(facts);
     }
-    return OfferToQueue(facts);
+    return QueueOrRefuse(facts);
   }
 
   void OnFinished(RequestTicket ticket,
-                  RunOutcome outcome,
+                  TargetCallOutcome outcome,
                   Clock::Duration latency) {
     const auto found = m_running.find(ticket);
     if (found == m_running.end()) {
       throw UnknownTicketError(ticket);
     }
     const WorkClass work_class = found->second.work_class;
-    if (TellsRunTime(work_class, outcome, latency)) {
-      Learn(found->second, latency);
+    if (IsServiceTimeSample(work_class, outcome, latency)) {
+      RecordServiceTime(found->second, latency);
     }
     --m_running_of[IndexOf(work_class)];
     m_running.erase(found);
@@ -157,10 +159,10 @@
   AdmissionChanges Poll() {
     AdmissionChanges changes;
     if (m_stopped) {
-      RefuseAllWaiting();
+      RefuseAllQueued();
     }
     SweepWhenDue(changes);
-    StartWaiting(changes);
+    StartQueued(changes);
     changes.refused = std::exchange(m_refused, {});
     UpdateLoad();
     return changes;
@@ -168,12 +170,12 @@
 
   CancelResult Cancel(RequestTicket ticket) {
     if (m_running.contains(ticket)) {
-      return CancelResult::kRuns;
+      return CancelResult::kRunning;
     }
     for (RequestQueue& queue : m_queues) {
       if (queue.Cancel(ticket)) {
         UpdateLoad();
-        return CancelResult::kWasWaiting;
+        return CancelResult::kRemovedFromQueue;
       }
     }
     return CancelResult::kUnknown;
@@ -183,7 +185,7 @@
 
   AdmissionStatus Status() const {
     AdmissionStatus status;
-    status.limit = Limit();
+    status.limit = EffectiveLimit();
     status.running = m_running.size();
     status.running_long = RunningOf(WorkClass::kLong);
     status.waiting = Waiting();
@@ -192,9 +194,9 @@
     status.admitted_total = m_admitted_total;
     status.refused_total = m_refused_total;
     // The mean of nothing is no number.
-    if (acc::count(m_waits) > 0) {
+    if (acc::count(m_wait_times) > 0) {
       status.mean_wait = std::chrono::duration_cast<std::chrono::microseconds>(
-          std::chrono::duration<double>(acc::mean(m_waits)));
+          std::chrono::duration<double>(acc::mean(m_wait_times)));
     }
     return status;
   }
@@ -208,8 +210,8 @@
     return m_queues[IndexOf(work_class)];
   }
 
-  const ServiceTimeEstimator& TimeOf(WorkClass work_class) const {
-    return m_times[IndexOf(work_class)];
+  const ServiceTimeEstimator& ServiceTimeOf(WorkClass work_class) const {
+    return m_service_times[IndexOf(work_class)];
   }
 
   std::size_t RunningOf(WorkClass work_class) const {
@@ -220,58 +222,60 @@
     return m_queues[0].size() + m_queues[1].size();
   }
 
-  std::size_t Limit() const {
+  std::size_t EffectiveLimit() const {
     const double ramped = static_cast<double>(m_limit.limit()) * m_ramp.Share();
     return std::max<std::size_t>(1, static_cast<std::size_t>(ramped));
   }
 
-  std::size_t GuaranteedForLong() const {
-    return std::max<std::size_t>(1, Limit() / kGuaranteedPart);
+  std::size_t MinLongConcurrency() const {
+    return std::max<std::size_t>(1, EffectiveLimit() / kGuaranteedLimitDivisor);
   }
 
   // Square-root staffing: with its mean demand and the root of it again, short
   // work seldom meets a moment at which long work holds all that it needs.
-  std::size_t MostLong() const {
+  std::size_t MaxLongConcurrency() const {
     const double demand = m_short_demand.average();
-    if (demand < kNoDemand) {
-      return Limit();
+    if (demand < kNegligibleDemand) {
+      return EffectiveLimit();
     }
     const double staffing = std::ceil(demand + std::sqrt(demand));
     const std::size_t kept =
-        std::max(static_cast<std::size_t>(staffing), Limit() / kGuaranteedPart);
-    const std::size_t guaranteed = GuaranteedForLong();
-    return kept + guaranteed >= Limit() ? guaranteed : Limit() - kept;
+        std::max(static_cast<std::size_t>(staffing),
+                 EffectiveLimit() / kGuaranteedLimitDivisor);
+    const std::size_t guaranteed = MinLongConcurrency();
+    return kept + guaranteed >= EffectiveLimit() ? guaranteed
+                                                 : EffectiveLimit() - kept;
   }
 
-  bool CanStartAtOnce(WorkClass work_class) const {
-    if (!QueueOf(work_class).empty() || m_running.size() >= Limit()) {
+  bool CanStartImmediately(WorkClass work_class) const {
+    if (!QueueOf(work_class).empty() || m_running.size() >= EffectiveLimit()) {
       return false;
     }
-    return work_class == WorkClass::kShort || MayStartLong();
+    return work_class == WorkClass::kShort || CanStartLong();
   }
 
-  bool MayStartLong() const {
+  bool CanStartLong() const {
     const std::size_t running = RunningOf(WorkClass::kLong);
-    if (running < GuaranteedForLong()) {
+    if (running < MinLongConcurrency()) {
       return true;
     }
-    return QueueOf(WorkClass::kShort).empty() && running < MostLong();
+    return QueueOf(WorkClass::kShort).empty() && running < MaxLongConcurrency();
   }
 
   // With nothing of its class running, a request is let through even if past
   // run times say that it would be late. Otherwise one slow spell that pushed
   // the estimate over everybody's deadline would refuse everything for good:
   // with nothing run, nothing could ever correct it.
-  bool IsOnlyMeasurement(WorkClass work_class) const {
+  bool IsProbe(WorkClass work_class) const {
     return RunningOf(work_class) == 0;
   }
 
-  AdmissionDecision OfferToFreeSlot(const RequestFacts& facts) {
+  AdmissionDecision StartOrRefuseOffered(const RequestMetadata& facts) {
     const Clock::TimePoint now = m_clock.Now();
     const bool in_time =
-        IsOnlyMeasurement(facts.work_class)
+        IsProbe(facts.work_class)
             ? now < facts.deadline
-            : now + TimeOf(facts.work_class).mean() <= facts.deadline;
+            : now + ServiceTimeOf(facts.work_class).mean() <= facts.deadline;
     if (!in_time) {
       return Refuse(facts.work_class, RefusalReason::kDeadlineTooClose, {});
     }
@@ -279,48 +283,50 @@
     return {};
   }
 
-  AdmissionDecision OfferToQueue(const RequestFacts& facts) {
+  AdmissionDecision QueueOrRefuse(const RequestMetadata& facts) {
     const std::size_t rank = QueueOf(facts.work_class).RankOf(facts);
-    const Clock::Duration wait = Stall() + static_cast<std::int64_t>(rank + 1) *
-                                               TimePerRank(facts.work_class);
+    const Clock::Duration wait =
+        ExpectedStall() +
+        static_cast<std::int64_t>(rank + 1) * TimePerRank(facts.work_class);
     const Clock::TimePoint end =
-        m_clock.Now() + wait + TimeOf(facts.work_class).cautious();
+        m_clock.Now() + wait + ServiceTimeOf(facts.work_class).upper_estimate();
     if (end > facts.deadline) {
       return Refuse(facts.work_class, RefusalReason::kDeadlineTooClose, wait);
     }
-    const bool is_long_wait = wait > StandingWait(facts.work_class);
-    if (is_long_wait && !TakeCredit(facts)) {
+    const bool is_long_wait = wait > MaxWaitWithoutCredit(facts.work_class);
+    if (is_long_wait && !TrySpendCredit(facts)) {
       return Refuse(facts.work_class, RefusalReason::kOverloaded, wait);
     }
     return Enqueue(facts, wait);
   }
 
-  Clock::Duration StandingWait(WorkClass work_class) const {
+  Clock::Duration MaxWaitWithoutCredit(WorkClass work_class) const {
     if (work_class == WorkClass::kShort) {
-      return m_parameters.standing_wait;
+      return m_parameters.max_wait_without_credit;
     }
     return std::max<Clock::Duration>(
-        m_parameters.standing_wait,
-        kLongRunsToWait * TimeOf(work_class).mean());
+        m_parameters.max_wait_without_credit,
+        kMaxLongWaitInRuns * ServiceTimeOf(work_class).mean());
   }
 
   // Not for a caller that is over its share: it alone would spend the credit
   // that all need, and then they would be refused for its rush.
-  bool TakeCredit(const RequestFacts& facts) {
-    if (QueueOf(facts.work_class).IsOverShare(facts)) {
+  bool TrySpendCredit(const RequestMetadata& facts) {
+    if (QueueOf(facts.work_class).IsOverFairShare(facts)) {
       return false;
     }
-    return m_credit.TryTake(ToSeconds(TimeOf(facts.work_class).mean()));
+    return m_credit.TrySpend(ToSeconds(ServiceTimeOf(facts.work_class).mean()));
   }
 
-  AdmissionDecision Enqueue(const RequestFacts& facts, Clock::Duration wait) {
+  AdmissionDecision Enqueue(const RequestMetadata& facts,
+                            Clock::Duration wait) {
     const RequestQueue::PushResult result =
         QueueOf(facts.work_class).Push(facts, m_clock.Now());
-    const RefusalReason reason = result.bytes_decided
+    const RefusalReason reason = result.limited_by_bytes
                                      ? RefusalReason::kQueueBytesFull
                                      : RefusalReason::kQueueFull;
-    for (const RequestFacts& evicted : result.evicted) {
-      RefuseWaiting(evicted, reason, wait);
+    for (const RequestMetadata& evicted : result.evicted) {
+      RefuseQueued(evicted, reason, wait);
     }
     if (!result.accepted) {
       return Refuse(facts.work_class, reason, wait);
@@ -330,40 +336,42 @@
   }
 
   // How many places the class has when all are in use.
-  std::size_t ServersOf(WorkClass work_class) const {
+  std::size_t ConcurrencyOf(WorkClass work_class) const {
     if (work_class == WorkClass::kLong) {
-      return std::max(MostLong(), GuaranteedForLong());
+      return std::max(MaxLongConcurrency(), MinLongConcurrency());
     }
-    const std::size_t taken = std::min(RunningOf(WorkClass::kLong), MostLong());
-    return std::max<std::size_t>(1, Limit() - std::min(taken, Limit() - 1));
+    const std::size_t taken =
+        std::min(RunningOf(WorkClass::kLong), MaxLongConcurrency());
+    return std::max<std::size_t>(
+        1, EffectiveLimit() - std::min(taken, EffectiveLimit() - 1));
   }
 
   Clock::Duration TimePerRank(WorkClass work_class) const {
-    return TimeOf(work_class).mean() /
-           static_cast<std::int64_t>(ServersOf(work_class));
+    return ServiceTimeOf(work_class).mean() /
+           static_cast<std::int64_t>(ConcurrencyOf(work_class));
   }
 
   // A frozen target finishes nothing, so run times never show it. What has
   // stood still for longer than a run takes is expected to go on doing so for
   // as long again; those who can't wait for that are told at once.
-  Clock::Duration Stall() const {
+  Clock::Duration ExpectedStall() const {
     if (m_running.empty()) {
       return {};
     }
     const Clock::Duration still = m_clock.Now() - m_last_progress;
-    return still > LongestExpectedRun() ? still : Clock::Duration(0);
+    return still > LongestExpectedRunTime() ? still : Clock::Duration(0);
   }
 
   // A refusal by the target is quick and says nothing about work that runs. A
   // run without an answer took at least this long; with a lost connection, that
   // may be nothing: a crashing target would look like the fastest one.
-  bool TellsRunTime(WorkClass work_class,
-                    RunOutcome outcome,
-                    Clock::Duration latency) const {
-    if (outcome == RunOutcome::kUnknown) {
-      return latency > TimeOf(work_class).mean();
+  bool IsServiceTimeSample(WorkClass work_class,
+                           TargetCallOutcome outcome,
+                           Clock::Duration latency) const {
+    if (outcome == TargetCallOutcome::kUnknown) {
+      return latency > ServiceTimeOf(work_class).mean();
     }
-    return outcome == RunOutcome::kDone;
+    return outcome == TargetCallOutcome::kDone;
   }
 
   // What ran through a freeze all ends together when it is over, each with the
@@ -371,30 +379,34 @@
   // refused as too late just when the target is well again. The first of them
   // counts, but as no more than kMostAfterStall times what was expected: if run
   // times have really grown so much, the next ones lead there in a few steps.
-  void Learn(const RunningRequest& ended, Clock::Duration latency) {
+  void RecordServiceTime(const RunningRequest& ended, Clock::Duration latency) {
     const Clock::TimePoint now = m_clock.Now();
-    if (now - m_last_progress > kStallRuns * LongestExpectedRun()) {
+    if (now - m_last_progress >
+        kStallThresholdInRuns * LongestExpectedRunTime()) {
       m_stall_ended = now;
-      ServiceTimeEstimator& time = m_times[IndexOf(ended.work_class)];
+      ServiceTimeEstimator& time = m_service_times[IndexOf(ended.work_class)];
       time.OnSample(std::min<Clock::Duration>(
-          latency, kMostAfterStall * time.cautious()));
+          latency, kMaxSampleFactorAfterStall * time.upper_estimate()));
       return;
     }
     if (ended.started < m_stall_ended) {
       return;
     }
     m_limit.OnFinished(ended.work_class, latency, m_running.size());
-    m_times[IndexOf(ended.work_class)].OnSample(latency);
+    m_service_times[IndexOf(ended.work_class)].OnSample(latency);
   }
 
-  Clock::Duration LongestExpectedRun() const {
+  Clock::Duration LongestExpectedRunTime() const {
     const bool runs_long = RunningOf(WorkClass::kLong) > 0;
-    const Clock::Duration of_short = TimeOf(WorkClass::kShort).cautious();
-    return runs_long ? std::max(of_short, TimeOf(WorkClass::kLong).cautious())
-                     : of_short;
+    const Clock::Duration of_short =
+        ServiceTimeOf(WorkClass::kShort).upper_estimate();
+    return runs_long
+               ? std::max(of_short,
+                          ServiceTimeOf(WorkClass::kLong).upper_estimate())
+               : of_short;
   }
 
-  void Start(const RequestFacts& facts) {
+  void Start(const RequestMetadata& facts) {
     if (m_running.empty()) {
       m_last_progress = m_clock.Now();
     }
@@ -412,19 +424,19 @@
     UpdateLoad();
   }
 
-  void StartWaiting(AdmissionChanges& changes) {
-    while (m_running.size() < Limit()) {
+  void StartQueued(AdmissionChanges& changes) {
+    while (m_running.size() < EffectiveLimit()) {
       const std::optional<WorkClass> next = NextClass();
       if (!next) {
         return;
       }
-      StartOrGiveUp(*QueueOf(*next).Pop(), changes);
+      StartOrRefuse(*QueueOf(*next).Pop(), changes);
     }
   }
 
   std::optional<WorkClass> NextClass() const {
     const bool long_waits = !QueueOf(WorkClass::kLong).empty();
-    if (long_waits && MayStartLong()) {
+    if (long_waits && CanStartLong()) {
       return WorkClass::kLong;
     }
     if (!QueueOf(WorkClass::kShort).empty()) {
@@ -433,18 +445,19 @@
     return std::nullopt;
   }
 
-  void StartOrGiveUp(const RequestQueue::Waiting& waiting,
+  void StartOrRefuse(const RequestQueue::QueuedRequest& waiting,
                      AdmissionChanges& changes) {
-    const RequestFacts& facts = waiting.facts;
+    const RequestMetadata& facts = waiting.facts;
     const Clock::TimePoint now = m_clock.Now();
-    const Clock::Duration needed = IsOnlyMeasurement(facts.work_class)
-                                       ? Clock::Duration(1)
-                                       : TimeOf(facts.work_class).cautious();
+    const Clock::Duration needed =
+        IsProbe(facts.work_class)
+            ? Clock::Duration(1)
+            : ServiceTimeOf(facts.work_class).upper_estimate();
     if (now + needed > facts.deadline) {
-      RefuseWaiting(facts, RefusalReason::kDeadlineTooClose, {});
+      RefuseQueued(facts, RefusalReason::kDeadlineTooClose, {});
       return;
     }
-    m_waits(ToSeconds(now - waiting.since));
+    m_wait_times(ToSeconds(now - waiting.enqueued_at));
     Start(facts);
     changes.admitted.push_back(facts.ticket);
   }
@@ -455,18 +468,19 @@
       return;
     }
     m_last_sweep = now;
-    GiveUpHopeless(WorkClass::kShort);
-    GiveUpHopeless(WorkClass::kLong);
+    RefuseUnmeetable(WorkClass::kShort);
+    RefuseUnmeetable(WorkClass::kLong);
     ReportOverdue(changes);
   }
 
-  void GiveUpHopeless(WorkClass work_class) {
-    const Clock::Duration first = Stall() + TimeOf(work_class).cautious();
-    const std::vector<RequestFacts> hopeless =
+  void RefuseUnmeetable(WorkClass work_class) {
+    const Clock::Duration first =
+        ExpectedStall() + ServiceTimeOf(work_class).upper_estimate();
+    const std::vector<RequestMetadata> hopeless =
         QueueOf(work_class)
-            .TakeHopeless(m_clock.Now() + first, TimePerRank(work_class));
-    for (const RequestFacts& facts : hopeless) {
-      RefuseWaiting(facts, RefusalReason::kDeadlineTooClose, first);
+            .TakeUnmeetable(m_clock.Now() + first, TimePerRank(work_class));
+    for (const RequestMetadata& facts : hopeless) {
+      RefuseQueued(facts, RefusalReason::kDeadlineTooClose, first);
     }
   }
 
@@ -480,10 +494,10 @@
     }
   }
 
-  void RefuseAllWaiting() {
+  void RefuseAllQueued() {
     for (RequestQueue& queue : m_queues) {
-      for (const RequestFacts& facts : queue.TakeAll()) {
-        RefuseWaiting(facts, RefusalReason::kTargetLeaving, {});
+      for (const RequestMetadata& facts : queue.TakeAll()) {
+        RefuseQueued(facts, RefusalReason::kTargetLeaving, {});
       }
     }
   }
@@ -492,9 +506,9 @@
                       RefusalReason reason,
                       Clock::Duration wait) {
     ++m_refused_total;
-    const double per_second = static_cast<double>(ServersOf(work_class)) /
-                              ToSeconds(TimeOf(work_class).mean());
-    return {reason, m_pacer.Next(per_second, wait)};
+    const double per_second = static_cast<double>(ConcurrencyOf(work_class)) /
+                              ToSeconds(ServiceTimeOf(work_class).mean());
+    return {reason, m_pacer.NextRetryAfter(per_second, wait)};
   }
 
   AdmissionDecision Refuse(WorkClass work_class,
@@ -504,16 +518,16 @@
             MakeRefusal(work_class, reason, wait)};
   }
 
-  void RefuseWaiting(const RequestFacts& facts,
-                     RefusalReason reason,
-                     Clock::Duration wait) {
+  void RefuseQueued(const RequestMetadata& facts,
+                    RefusalReason reason,
+                    Clock::Duration wait) {
     m_refused.push_back(
         {facts.ticket, MakeRefusal(facts.work_class, reason, wait)});
   }
 
   void UpdateLoad() {
-    const double used =
-        static_cast<double>(m_running.size()) / static_cast<double>(Limit());
+    const double used = static_cast<double>(m_running.size()) /
+                        static_cast<double>(EffectiveLimit());
     m_credit.SetIdleShare(std::max(0.0, 1 - used));
     m_short_demand.Set(RunningOf(WorkClass::kShort) +
                        QueueOf(WorkClass::kShort).size());
@@ -526,7 +540,7 @@
   BurstCredit m_credit;
   RetryAfterPacer m_pacer;
   std::array<RequestQueue, kWorkClassCount> m_queues;
-  std::array<ServiceTimeEstimator, kWorkClassCount> m_times;
+  std::array<ServiceTimeEstimator, kWorkClassCount> m_service_times;
   std::array<std::size_t, kWorkClassCount> m_running_of{};
   std::unordered_map<RequestTicket, RunningRequest> m_running;
   DemandAverage m_short_demand;
@@ -538,7 +552,7 @@
   bool m_stopped = false;
   std::uint64_t m_admitted_total = 0;
   std::uint64_t m_refused_total = 0;
-  acc::accumulator_set<double, acc::stats<acc::tag::mean>> m_waits;
+  acc::accumulator_set<double, acc::stats<acc::tag::mean>> m_wait_times;
 };
 
 AdmissionController::AdmissionController(const Clock& clock,
@@ -548,12 +562,12 @@
 
 AdmissionController::~AdmissionController() = default;
 
-AdmissionDecision AdmissionController::Offer(const RequestFacts& facts) {
+AdmissionDecision AdmissionController::Offer(const RequestMetadata& facts) {
   return m_impl->Offer(facts);
 }
 
 void AdmissionController::OnFinished(RequestTicket ticket,
-                                     RunOutcome outcome,
+                                     TargetCallOutcome outcome,
                                      Clock::Duration latency) {
   m_impl->OnFinished(ticket, outcome, latency);
 }
--- a/modules/coordination/load/admission_controller.h
+++ b/modules/coordination/load/admission_controller.h
@@ -12,9 +12,9 @@
 #include "modules/coordination/load/burst_credit.h"
 #include "modules/coordination/load/cold_start_ramp.h"
 #include "modules/coordination/load/concurrency_limit.h"
-#include "modules/coordination/load/request_facts.h"
+#include "modules/coordination/load/request_metadata.h"
 #include "modules/coordination/load/request_queue.h"
-#include "modules/coordination/load/run_outcome.h"
+#include "modules/coordination/load/target_call_outcome.h"
 
 namespace citrongrade {
 
@@ -42,7 +42,7 @@
  public:
   struct Parameters {
     // What the target declared.
-    std::size_t slots = 1;
+    std::size_t declared_concurrency = 1;
     std::size_t connections = 1;
     // False for a target that was seen serving before this node started.
     bool starts_cold = true;
@@ -51,14 +51,14 @@
     RequestQueue::Parameters short_queue;
     RequestQueue::Parameters long_queue;
     // Longest wait without burst credit.
-    std::chrono::milliseconds standing_wait{200};
+    std::chrono::milliseconds max_wait_without_credit{200};
     // Length of a rush that full credit carries at full capacity.
-    std::chrono::seconds burst{60};
+    std::chrono::seconds burst_duration{60};
     // Idle time that earns full credit.
-    std::chrono::seconds burst_refill{300};
+    std::chrono::seconds burst_refill_time{300};
     // Until measured.
-    std::chrono::milliseconds initial_short_time{20};
-    std::chrono::milliseconds initial_long_time{500};
+    std::chrono::milliseconds initial_short_service_time{20};
+    std::chrono::milliseconds initial_long_service_time{500};
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
@@ -72,12 +72,12 @@
   AdmissionController(const AdmissionController&) = delete;
   AdmissionController& operator=(const AdmissionController&) = delete;
 
-  AdmissionDecision Offer(const RequestFacts& facts);
+  AdmissionDecision Offer(const RequestMetadata& facts);
 
   // `latency` from giving it to the target until the answer's end. Throws
   // UnknownTicketError when the ticket does not run here.
   void OnFinished(RequestTicket ticket,
-                  RunOutcome outcome,
+                  TargetCallOutcome outcome,
                   Clock::Duration latency);
 
   AdmissionChanges Poll();
@@ -85,9 +85,9 @@
   enum class CancelResult {
     kUnknown,
     // It never reached the target.
-    kWasWaiting,
+    kRemovedFromQueue,
     // Cancel it at the target; report its end by OnFinished().
-    kRuns,
+    kRunning,
   };
 
   CancelResult Cancel(RequestTicket ticket);
--- a/modules/coordination/load/admission_controller_test.cc
+++ b/modules/coordination/load/admission_controller_test.cc
@@ -23,7 +23,7 @@
 
   static AdmissionController::Parameters Declared() {
     AdmissionController::Parameters parameters;
-    parameters.slots = 4;
+    parameters.declared_concurrency = 4;
     parameters.connections = 40;
     parameters.starts_cold = false;
     return parameters;
@@ -31,7 +31,7 @@
 
   AdmissionDecision Offer(milliseconds patience,
                           WorkClass work_class = WorkClass::kShort) {
-    RequestFacts facts;
+    RequestMetadata facts;
     facts.ticket = RequestTicket(++m_last_ticket);
     facts.caller = CallerHash(m_last_ticket);
     facts.key = KeyHash(m_last_ticket);
@@ -48,7 +48,8 @@
   }
 
   void Finish(std::uint64_t ticket, milliseconds latency) {
-    m_admission.OnFinished(RequestTicket(ticket), RunOutcome::kDone, latency);
+    m_admission.OnFinished(RequestTicket(ticket), TargetCallOutcome::kDone,
+                           latency);
   }
 
   void FillSlots() {
@@ -163,7 +164,7 @@
 // standing one is refused; otherwise every answer would come at the deadline.
 TEST_CASE("without credit nobody waits longer than the standing wait") {
   AdmissionController::Parameters parameters = Fixture::Declared();
-  parameters.burst = std::chrono::seconds(0);
+  parameters.burst_duration = std::chrono::seconds(0);
   Fixture fixture(parameters);
   fixture.FillSlots();
   AdmissionDecision decision;
@@ -175,7 +176,7 @@
   }
   CHECK(decision.refusal->reason == RefusalReason::kOverloaded);
   // Four slots and runs of 20 ms: one starts every 5 ms.
-  CHECK(queued == parameters.standing_wait / milliseconds(5));
+  CHECK(queued == parameters.max_wait_without_credit / milliseconds(5));
 }
 
 TEST_CASE("cancellation reaches what waits and names what runs") {
@@ -183,9 +184,10 @@
   Fixture fixture;
   fixture.FillSlots();
   REQUIRE(fixture.Offer(milliseconds(1000)).verdict == Verdict::kQueued);
-  CHECK(fixture.admission().Cancel(RequestTicket(5)) == Result::kWasWaiting);
+  CHECK(fixture.admission().Cancel(RequestTicket(5)) ==
+        Result::kRemovedFromQueue);
   CHECK(fixture.admission().Cancel(RequestTicket(5)) == Result::kUnknown);
-  CHECK(fixture.admission().Cancel(RequestTicket(1)) == Result::kRuns);
+  CHECK(fixture.admission().Cancel(RequestTicket(1)) == Result::kRunning);
   CHECK(fixture.admission().Status().running == 4);
 }
 
--- a/modules/coordination/load/body_room.h
+++ b/modules/coordination/load/body_transfer_scheduler.h
@@ -28,15 +28,15 @@
 // How to use it: Offer() each body before it is sent, OnEnded() once for each
 // that was granted, when it has come or won't. After that, and every 20 ms,
 // Poll(). Thread-confined; never blocks.
-class BodyRoom {
+class BodyTransferScheduler {
  public:
   struct Body {
     RequestTicket ticket;
     std::uint64_t bytes = 0;
     // Come by then it is worth most.
-    Clock::TimePoint aim;
+    Clock::TimePoint soft_deadline;
     // Come later it is worth nothing.
-    Clock::TimePoint latest;
+    Clock::TimePoint deadline;
 
     friend auto operator<=>(const Body&, const Body&) = default;
   };
@@ -44,40 +44,40 @@
   // What the link carries in this time may be on its way: more would hold up
   // calls that wait for some 100 ms, less would leave gaps between the bodies.
   // One body always may, however long.
-  static constexpr std::chrono::milliseconds kMostOnWay{50};
+  static constexpr std::chrono::milliseconds kMaxInFlightTime{50};
   // Bound on memory.
   static constexpr std::size_t kMaxWaiting = 512;
 
-  enum class Verdict { kGranted, kWaits, kRefused };
+  enum class Verdict { kGranted, kQueued, kRefused };
 
   struct Changes {
     std::vector<RequestTicket> granted;
     std::vector<RequestTicket> refused;
   };
 
-  BodyRoom(const Clock& clock, double bytes_per_second);
+  BodyTransferScheduler(const Clock& clock, double bytes_per_second);
 
   Verdict Offer(const Body& body);
   // Also takes back one that waits.
-  void OnEnded(RequestTicket ticket);
+  void OnFinished(RequestTicket ticket);
   Changes Poll();
   // When one that is refused now may find room.
   Clock::Duration DrainTime() const;
 
   std::size_t waiting() const { return m_waiting.size(); }
-  std::uint64_t bytes_on_way() const { return m_bytes_on_way; }
+  std::uint64_t bytes_in_flight() const { return m_bytes_in_flight; }
 
  private:
-  Clock::Duration TimeFor(std::uint64_t bytes) const;
-  bool HasRoomFor(std::uint64_t bytes) const;
+  Clock::Duration TransferTime(std::uint64_t bytes) const;
+  bool HasCapacityFor(std::uint64_t bytes) const;
   void Grant(const Body& body);
   // The next to be granted; one must wait.
   std::map<RequestTicket, Body>::iterator FindNext();
 
   const Clock& m_clock;
   const double m_bytes_per_second;
-  std::map<RequestTicket, std::uint64_t> m_on_way;
-  std::uint64_t m_bytes_on_way = 0;
+  std::map<RequestTicket, std::uint64_t> m_in_flight;
+  std::uint64_t m_bytes_in_flight = 0;
   // By ticket, which is the order in which they came.
   std::map<RequestTicket, Body> m_waiting;
   std::uint64_t m_bytes_waiting = 0;
--- a/modules/coordination/load/body_room_test.cc
+++ b/modules/coordination/load/body_transfer_scheduler_test.cc
@@ -1,4 +1,4 @@
-#include "modules/coordination/load/body_room.h"
+#include "modules/coordination/load/body_transfer_scheduler.h"
 
 #include <doctest/doctest.h>
 
@@ -16,48 +16,49 @@
 
 class Fixture {
  public:
-  BodyRoom::Verdict Offer(std::uint64_t number,
-                          std::uint64_t bytes = kBytes,
-                          milliseconds aim = milliseconds(500),
-                          milliseconds latest = milliseconds(2000)) {
+  BodyTransferScheduler::Verdict Offer(
+      std::uint64_t number,
+      std::uint64_t bytes = kBytes,
+      milliseconds aim = milliseconds(500),
+      milliseconds latest = milliseconds(2000)) {
     return room.Offer({RequestTicket(number), bytes, clock.Now() + aim,
                        clock.Now() + latest});
   }
 
   ManualClock clock;
-  BodyRoom room{clock, kRate};
+  BodyTransferScheduler room{clock, kRate};
 };
 
 }  // namespace
 
 // Calls of some hundred bytes stood behind as many bodies as came.
 TEST_CASE_FIXTURE(Fixture, "no more bodies are on the way than fill the link") {
-  CHECK(Offer(1) == BodyRoom::Verdict::kGranted);
-  CHECK(Offer(2) == BodyRoom::Verdict::kGranted);
-  CHECK(Offer(3) == BodyRoom::Verdict::kWaits);
-  CHECK(Offer(4, 100) == BodyRoom::Verdict::kWaits);
+  CHECK(Offer(1) == BodyTransferScheduler::Verdict::kGranted);
+  CHECK(Offer(2) == BodyTransferScheduler::Verdict::kGranted);
+  CHECK(Offer(3) == BodyTransferScheduler::Verdict::kQueued);
+  CHECK(Offer(4, 100) == BodyTransferScheduler::Verdict::kQueued);
   CHECK(room.Poll().granted.empty());
-  room.OnEnded(RequestTicket(1));
-  const BodyRoom::Changes changes = room.Poll();
+  room.OnFinished(RequestTicket(1));
+  const BodyTransferScheduler::Changes changes = room.Poll();
   REQUIRE(changes.granted.size() == 2);
   CHECK(changes.granted[0] == RequestTicket(3));
-  CHECK(room.bytes_on_way() == 2 * kBytes + 100);
+  CHECK(room.bytes_in_flight() == 2 * kBytes + 100);
 }
 
 // A body longer than all the room would never be sent.
 TEST_CASE_FIXTURE(Fixture, "one body is let in however long it is") {
-  CHECK(Offer(1, 10 * kBytes) == BodyRoom::Verdict::kGranted);
-  CHECK(Offer(2, 10 * kBytes) == BodyRoom::Verdict::kWaits);
-  room.OnEnded(RequestTicket(1));
+  CHECK(Offer(1, 10 * kBytes) == BodyTransferScheduler::Verdict::kGranted);
+  CHECK(Offer(2, 10 * kBytes) == BodyTransferScheduler::Verdict::kQueued);
+  room.OnFinished(RequestTicket(1));
   CHECK(room.Poll().granted.size() == 1);
 }
 
 // Its caller would be told at the end of its time what was known at its start.
 TEST_CASE_FIXTURE(Fixture, "what can't come in time is refused at the offer") {
   for (std::uint64_t number = 1; number <= 4; ++number)
-    CHECK(Offer(number) != BodyRoom::Verdict::kRefused);
+    CHECK(Offer(number) != BodyTransferScheduler::Verdict::kRefused);
   CHECK(Offer(5, kBytes, milliseconds(50), milliseconds(120)) ==
-        BodyRoom::Verdict::kRefused);
+        BodyTransferScheduler::Verdict::kRefused);
   CHECK(room.DrainTime() > milliseconds(90));
 }
 
@@ -67,9 +68,9 @@
   Offer(1);
   Offer(2);
   CHECK(Offer(3, kBytes, milliseconds(50), milliseconds(200)) ==
-        BodyRoom::Verdict::kWaits);
+        BodyTransferScheduler::Verdict::kQueued);
   clock.Advance(milliseconds(180));
-  const BodyRoom::Changes changes = room.Poll();
+  const BodyTransferScheduler::Changes changes = room.Poll();
   REQUIRE(changes.refused.size() == 1);
   CHECK(changes.refused[0] == RequestTicket(3));
   CHECK(room.waiting() == 0);
@@ -83,12 +84,12 @@
   clock.Advance(milliseconds(200));
   Offer(3, kBytes);
   Offer(4, kBytes);
-  room.OnEnded(RequestTicket(1));
-  const BodyRoom::Changes changes = room.Poll();
+  room.OnFinished(RequestTicket(1));
+  const BodyTransferScheduler::Changes changes = room.Poll();
   REQUIRE(changes.granted.size() == 2);
   CHECK(changes.granted[0] == RequestTicket(3));
   CHECK(changes.granted[1] == RequestTicket(4));
-  room.OnEnded(RequestTicket(3));
+  room.OnFinished(RequestTicket(3));
   CHECK(room.Poll().granted.size() == 1);
 }
 
@@ -97,12 +98,12 @@
   Offer(1);
   Offer(2);
   Offer(3);
-  room.OnEnded(RequestTicket(3));
+  room.OnFinished(RequestTicket(3));
   CHECK(room.waiting() == 0);
-  room.OnEnded(RequestTicket(2));
-  room.OnEnded(RequestTicket(2));
-  CHECK(room.bytes_on_way() == kBytes);
-  CHECK(Offer(4) == BodyRoom::Verdict::kGranted);
+  room.OnFinished(RequestTicket(2));
+  room.OnFinished(RequestTicket(2));
+  CHECK(room.bytes_in_flight() == kBytes);
+  CHECK(Offer(4) == BodyTransferScheduler::Verdict::kGranted);
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/burst_credit.cc
+++ b/modules/coordination/load/burst_credit.cc
@@ -10,17 +10,17 @@
     : m_clock(clock),
       m_parameters(parameters),
       m_available(parameters.capacity),
-      m_earned_until(clock.Now()) {}
+      m_last_refill(clock.Now()) {}
 
 void BurstCredit::SetIdleShare(double idle_share) {
   // The caller divided by a limit that shrank below what already runs.
   assert(idle_share >= 0 && idle_share <= 1);
-  Earn();
+  Refill();
   m_idle_share = idle_share;
 }
 
-bool BurstCredit::TryTake(double slot_seconds) {
-  Earn();
+bool BurstCredit::TrySpend(double slot_seconds) {
+  Refill();
   if (m_available < slot_seconds) {
     return false;
   }
@@ -28,13 +28,13 @@
   return true;
 }
 
-void BurstCredit::Earn() {
+void BurstCredit::Refill() {
   const Clock::TimePoint now = m_clock.Now();
   const double seconds =
-      std::chrono::duration<double>(now - m_earned_until).count();
-  const double earned = seconds * m_idle_share * m_parameters.earned_per_second;
+      std::chrono::duration<double>(now - m_last_refill).count();
+  const double earned = seconds * m_idle_share * m_parameters.refill_per_second;
   m_available = std::min(m_parameters.capacity, m_available + earned);
-  m_earned_until = now;
+  m_last_refill = now;
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/burst_credit.h
+++ b/modules/coordination/load/burst_credit.h
@@ -23,7 +23,7 @@
  public:
   struct Parameters {
     double capacity = 0;
-    double earned_per_second = 0;
+    double refill_per_second = 0;
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
@@ -35,18 +35,18 @@
   void SetIdleShare(double idle_share);
 
   // Spends `slot_seconds`; false, and nothing spent, when there are fewer.
-  bool TryTake(double slot_seconds);
+  bool TrySpend(double slot_seconds);
 
   double available() const { return m_available; }
 
  private:
-  void Earn();
+  void Refill();
 
   const Clock& m_clock;
   Parameters m_parameters;
   double m_available;
   double m_idle_share = 0;
-  Clock::TimePoint m_earned_until;
+  Clock::TimePoint m_last_refill;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/load/burst_credit_test.cc
+++ b/modules/coordination/load/burst_credit_test.cc
@@ -12,22 +12,22 @@
   ManualClock clock;
   BurstCredit credit(clock, {10, 1});
   credit.SetIdleShare(0);
-  CHECK(credit.TryTake(10));
+  CHECK(credit.TrySpend(10));
   clock.Advance(std::chrono::hours(1));
-  CHECK_FALSE(credit.TryTake(1));
+  CHECK_FALSE(credit.TrySpend(1));
 }
 
 TEST_CASE("idle time earns by its share, up to the capacity") {
   ManualClock clock;
   BurstCredit credit(clock, {10, 1});
-  CHECK(credit.TryTake(10));
+  CHECK(credit.TrySpend(10));
   credit.SetIdleShare(0.5);
   clock.Advance(std::chrono::seconds(4));
-  CHECK_FALSE(credit.TryTake(2.5));
-  CHECK(credit.TryTake(2));
+  CHECK_FALSE(credit.TrySpend(2.5));
+  CHECK(credit.TrySpend(2));
   clock.Advance(std::chrono::hours(1));
-  CHECK(credit.TryTake(10));
-  CHECK_FALSE(credit.TryTake(0.1));
+  CHECK(credit.TrySpend(10));
+  CHECK_FALSE(credit.TrySpend(0.1));
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/concurrency_limit.cc
+++ b/modules/coordination/load/concurrency_limit.cc
@@ -22,13 +22,13 @@
 
 // One window takes at most this share away, so that a single odd window (a
 // pause of the machine) does not undo minutes of growth.
-constexpr double kLargestCut = 0.8;
+constexpr double kMinShrinkFactor = 0.8;
 
 // A cut below the declared slots stands only if this share of the throughput
 // is left; the mean of a window of some 60 runs is known to within 5%.
-constexpr double kTrialMustKeep = 0.9;
+constexpr double kMinTrialThroughputShare = 0.9;
 
-constexpr std::chrono::seconds kNoTrialAfterFailure(30);
+constexpr std::chrono::seconds kTrialRetryDelay(30);
 
 // A cut below the declared slots whose effect is not yet known.
 struct Trial {
@@ -51,16 +51,16 @@
     if (acc::count(m_current) < min_samples) {
       return;
     }
-    m_kept.push_back(acc::mean(m_current));
+    m_period_means.push_back(acc::mean(m_current));
     m_current = MeanLatency();
-    while (m_kept.size() > periods_kept) {
-      m_kept.pop_front();
+    while (m_period_means.size() > periods_kept) {
+      m_period_means.pop_front();
     }
   }
 
   std::optional<double> Best(std::size_t min_samples) const {
-    if (!m_kept.empty()) {
-      return *std::min_element(m_kept.begin(), m_kept.end());
+    if (!m_period_means.empty()) {
+      return *std::min_element(m_period_means.begin(), m_period_means.end());
     }
     if (acc::count(m_current) >= min_samples) {
       return acc::mean(m_current);
@@ -70,7 +70,7 @@
 
  private:
   MeanLatency m_current;
-  std::deque<double> m_kept;
+  std::deque<double> m_period_means;
 };
 
 }  // namespace
@@ -80,7 +80,7 @@
   Impl(const Clock& clock, const Parameters& parameters)
       : m_clock(clock),
         m_parameters(parameters),
-        m_limit(std::max<std::size_t>(1, parameters.declared_slots)),
+        m_limit(std::max<std::size_t>(1, parameters.declared_concurrency)),
         m_window_began(clock.Now()),
         m_period_began(clock.Now()) {}
 
@@ -90,7 +90,7 @@
     const auto index = static_cast<std::size_t>(work_class);
     const double seconds = ToSeconds(latency);
     m_window[index](seconds);
-    m_most_running = std::max(m_most_running, running);
+    m_peak_running = std::max(m_peak_running, running);
     if (IsUncongested(running)) {
       m_baselines[index].Add(seconds);
     }
@@ -104,8 +104,8 @@
   // Below half of the slots many targets answer faster than they can when busy
   // (caches, turbo): taken as the best, that would shrink a healthy target.
   bool IsUncongested(std::size_t running) const {
-    return running <= m_parameters.declared_slots &&
-           2 * running >= m_parameters.declared_slots;
+    return running <= m_parameters.declared_concurrency &&
+           2 * running >= m_parameters.declared_concurrency;
   }
 
   void ClosePeriodWhenDue() {
@@ -130,7 +130,7 @@
       Adjust(*slowdown);
     }
     m_window_began = m_clock.Now();
-    m_most_running = 0;
+    m_peak_running = 0;
     m_window = {};
   }
 
@@ -163,34 +163,35 @@
 
   void Adjust(double slowdown) {
     if (m_trial) {
-      JudgeTrial(slowdown);
+      EvaluateTrial(slowdown);
       return;
     }
-    const bool in_use = m_most_running >= m_limit;
+    const bool in_use = m_peak_running >= m_limit;
     if (!in_use) {
       return;
     }
-    const bool has_extra = m_limit > m_parameters.declared_slots;
+    const bool has_extra = m_limit > m_parameters.declared_concurrency;
     if (slowdown > kShrinkAbove) {
       Shrink(slowdown);
     } else if (has_extra && slowdown > kDropExtraAbove) {
       --m_limit;
     } else if (slowdown < kGrowBelow) {
-      m_limit = std::min(m_limit + 1, Ceiling());
+      m_limit = std::min(m_limit + 1, MaxLimit());
     }
   }
 
   void Shrink(double slowdown) {
-    const double cut = std::max(kLargestCut, kShrinkAbove / slowdown);
+    const double cut = std::max(kMinShrinkFactor, kShrinkAbove / slowdown);
     const auto cut_limit =
         static_cast<std::size_t>(static_cast<double>(m_limit) * cut);
-    const std::size_t wanted = std::max(cut_limit, Floor());
-    if (wanted >= m_parameters.declared_slots) {
+    const std::size_t wanted = std::max(cut_limit, MinLimit());
+    if (wanted >= m_parameters.declared_concurrency) {
       m_limit = wanted;
       return;
     }
-    if (m_limit > m_parameters.declared_slots || m_clock.Now() < m_no_trial) {
-      m_limit = std::min(m_limit, m_parameters.declared_slots);
+    if (m_limit > m_parameters.declared_concurrency ||
+        m_clock.Now() < m_no_trial_until) {
+      m_limit = std::min(m_limit, m_parameters.declared_concurrency);
       return;
     }
     m_trial = Trial{m_limit, Throughput(slowdown)};
@@ -205,29 +206,30 @@
   // Latency that has causes other than concurrency (a slow store behind the
   // target) does not fall with it: fewer places at the same latency only do
   // less work, and callers are refused that the target could serve.
-  void JudgeTrial(double slowdown) {
-    if (Throughput(slowdown) < kTrialMustKeep * m_trial->throughput) {
+  void EvaluateTrial(double slowdown) {
+    if (Throughput(slowdown) < kMinTrialThroughputShare * m_trial->throughput) {
       m_limit = m_trial->limit;
-      m_no_trial = m_clock.Now() + kNoTrialAfterFailure;
+      m_no_trial_until = m_clock.Now() + kTrialRetryDelay;
     }
     m_trial.reset();
   }
 
-  std::size_t Floor() const {
-    return std::max<std::size_t>(1, (m_parameters.declared_slots + 1) / 2);
+  std::size_t MinLimit() const {
+    return std::max<std::size_t>(1,
+                                 (m_parameters.declared_concurrency + 1) / 2);
   }
 
-  std::size_t Ceiling() const {
+  std::size_t MaxLimit() const {
     return std::max(m_parameters.declared_connections,
-                    m_parameters.declared_slots);
+                    m_parameters.declared_concurrency);
   }
 
   const Clock& m_clock;
   const Parameters m_parameters;
   std::size_t m_limit;
-  std::size_t m_most_running = 0;
+  std::size_t m_peak_running = 0;
   std::optional<Trial> m_trial;
-  Clock::TimePoint m_no_trial;
+  Clock::TimePoint m_no_trial_until;
   std::array<MeanLatency, kWorkClassCount> m_window;
   std::array<Baseline, kWorkClassCount> m_baselines;
   Clock::TimePoint m_window_began;
--- a/modules/coordination/load/concurrency_limit.h
+++ b/modules/coordination/load/concurrency_limit.h
@@ -35,7 +35,7 @@
 class ConcurrencyLimit {
  public:
   struct Parameters {
-    std::size_t declared_slots = 1;
+    std::size_t declared_concurrency = 1;
     std::size_t declared_connections = 1;
     std::chrono::milliseconds window{500};
     std::size_t min_samples = 20;
--- a/modules/coordination/load/concurrency_limit_test.cc
+++ b/modules/coordination/load/concurrency_limit_test.cc
@@ -15,7 +15,7 @@
 // A target that does `places` runs of 20 ms at once and queues the rest.
 class QueueingTarget {
  public:
-  explicit QueueingTarget(std::size_t places) : m_places(places) {}
+  explicit QueueingTarget(std::size_t places) : m_capacity(places) {}
 
   void SetRunTime(milliseconds run_time) { m_run_time = run_time; }
 
@@ -24,7 +24,7 @@
     for (int step = 0; step < 50 * seconds; ++step) {
       const std::size_t running = limit.limit();
       const auto queued = std::max(
-          1.0, static_cast<double>(running) / static_cast<double>(m_places));
+          1.0, static_cast<double>(running) / static_cast<double>(m_capacity));
       clock.Advance(milliseconds(20));
       limit.OnFinished(
           WorkClass::kShort,
@@ -34,13 +34,13 @@
   }
 
  private:
-  std::size_t m_places;
+  std::size_t m_capacity;
   milliseconds m_run_time{20};
 };
 
 ConcurrencyLimit::Parameters Declared() {
   ConcurrencyLimit::Parameters parameters;
-  parameters.declared_slots = kSlots;
+  parameters.declared_concurrency = kSlots;
   parameters.declared_connections = 40;
   return parameters;
 }
--- a/modules/coordination/load/poison_detector.cc
+++ b/modules/coordination/load/poison_detector.cc
@@ -39,7 +39,7 @@
 
   void Merge(std::span<const RequestFingerprint> reports) {
     for (const RequestFingerprint mark : reports) {
-      ForgetExpired();
+      RemoveExpired();
       CountCrash(mark);
     }
   }
@@ -60,7 +60,7 @@
       return false;
     }
     const Clock::Duration age = m_clock.Now() - found->second.last_crash;
-    return age < m_parameters.quarantine;
+    return age < m_parameters.quarantine_duration;
   }
 
   std::vector<RequestFingerprint> TakeReports() {
@@ -71,14 +71,16 @@
 
  private:
   using Suspects = std::unordered_map<RequestFingerprint, Suspect>;
-  using ByAge = std::set<std::pair<Clock::TimePoint, RequestFingerprint>>;
+  using CrashTimeIndex =
+      std::set<std::pair<Clock::TimePoint, RequestFingerprint>>;
 
   bool IsOverThreshold(const Suspect& suspect) const {
     return suspect.crashes >= m_parameters.crashes_to_quarantine;
   }
 
-  ByAge& AgesOf(const Suspect& suspect) {
-    return IsOverThreshold(suspect) ? m_quarantined : m_watched;
+  CrashTimeIndex& IndexFor(const Suspect& suspect) {
+    return IsOverThreshold(suspect) ? m_quarantined_index
+                                    : m_unquarantined_index;
   }
 
   void CountCrash(RequestFingerprint mark) {
@@ -88,28 +90,30 @@
       suspect = found->second;
       Erase(found);
     }
-    MakeRoom();
+    EvictIfFull();
     ++suspect.crashes;
     suspect.last_crash = m_clock.Now();
-    AgesOf(suspect).emplace(suspect.last_crash, mark);
+    IndexFor(suspect).emplace(suspect.last_crash, mark);
     m_suspects.emplace(mark, suspect);
   }
 
-  void MakeRoom() {
+  void EvictIfFull() {
     if (m_suspects.size() <
         std::max<std::size_t>(1, m_parameters.max_suspects)) {
       return;
     }
-    const ByAge& ages = m_watched.empty() ? m_quarantined : m_watched;
+    const CrashTimeIndex& ages = m_unquarantined_index.empty()
+                                     ? m_quarantined_index
+                                     : m_unquarantined_index;
     Erase(m_suspects.find(ages.begin()->second));
   }
 
-  void ForgetExpired() {
-    ForgetOlderThan(m_watched, m_parameters.memory);
-    ForgetOlderThan(m_quarantined, m_parameters.quarantine);
+  void RemoveExpired() {
+    RemoveOlderThan(m_unquarantined_index, m_parameters.suspect_retention);
+    RemoveOlderThan(m_quarantined_index, m_parameters.quarantine_duration);
   }
 
-  void ForgetOlderThan(ByAge& ages, Clock::Duration age) {
+  void RemoveOlderThan(CrashTimeIndex& ages, Clock::Duration age) {
     const Clock::TimePoint now = m_clock.Now();
     while (!ages.empty() && now - ages.begin()->first >= age) {
       Erase(m_suspects.find(ages.begin()->second));
@@ -118,15 +122,15 @@
 
   void Erase(Suspects::iterator position) {
     const Suspect suspect = position->second;
-    AgesOf(suspect).erase({suspect.last_crash, position->first});
+    IndexFor(suspect).erase({suspect.last_crash, position->first});
     m_suspects.erase(position);
   }
 
   const Clock& m_clock;
   const Parameters m_parameters;
   Suspects m_suspects;
-  ByAge m_watched;
-  ByAge m_quarantined;
+  CrashTimeIndex m_unquarantined_index;
+  CrashTimeIndex m_quarantined_index;
   std::vector<RequestFingerprint> m_reports;
 };
 
@@ -139,7 +143,7 @@
   m_impl->OnCrash(running);
 }
 
-void PoisonDetector::OnEnded(RequestFingerprint mark) {
+void PoisonDetector::OnFinished(RequestFingerprint mark) {
   m_impl->OnEnded(mark);
 }
 
@@ -151,7 +155,8 @@
   return m_impl->TakeReports();
 }
 
-void PoisonDetector::Merge(std::span<const RequestFingerprint> reports) {
+void PoisonDetector::MergePeerReports(
+    std::span<const RequestFingerprint> reports) {
   m_impl->Merge(reports);
 }
 
--- a/modules/coordination/load/poison_detector.h
+++ b/modules/coordination/load/poison_detector.h
@@ -33,8 +33,8 @@
  public:
   struct Parameters {
     std::size_t crashes_to_quarantine = 3;
-    std::chrono::seconds memory{600};
-    std::chrono::seconds quarantine{600};
+    std::chrono::seconds suspect_retention{600};
+    std::chrono::seconds quarantine_duration{600};
     std::size_t max_suspects = 4096;
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
@@ -50,14 +50,14 @@
   void OnCrash(std::span<const RequestFingerprint> running);
 
   // The request's run ended without a crash.
-  void OnEnded(RequestFingerprint mark);
+  void OnFinished(RequestFingerprint mark);
 
   bool IsQuarantined(RequestFingerprint mark) const;
 
   // One crash seen here with one suspect in it, for the peers.
   std::vector<RequestFingerprint> TakeReports();
   // A peer saw a crash with each of these in it.
-  void Merge(std::span<const RequestFingerprint> reports);
+  void MergePeerReports(std::span<const RequestFingerprint> reports);
 
   std::size_t suspect_count() const;
 
--- a/modules/coordination/load/poison_detector_test.cc
+++ b/modules/coordination/load/poison_detector_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-using Marks = std::vector<RequestFingerprint>;
+using Fingerprints = std::vector<RequestFingerprint>;
 
 constexpr RequestFingerprint kPoison(666);
 
@@ -25,12 +25,12 @@
   const RequestFingerprint innocent(1);
   for (int crash = 0; crash < 3; ++crash) {
     CHECK_FALSE(detector.IsQuarantined(kPoison));
-    detector.OnCrash(Marks{innocent, kPoison});
-    detector.OnEnded(innocent);
+    detector.OnCrash(Fingerprints{innocent, kPoison});
+    detector.OnFinished(innocent);
   }
   CHECK(detector.IsQuarantined(kPoison));
   CHECK_FALSE(detector.IsQuarantined(innocent));
-  detector.OnEnded(kPoison);
+  detector.OnFinished(kPoison);
   CHECK(detector.IsQuarantined(kPoison));
   clock.Advance(std::chrono::seconds(601));
   CHECK_FALSE(detector.IsQuarantined(kPoison));
@@ -43,9 +43,9 @@
   PoisonDetector here(clock, PoisonDetector::Parameters{});
   PoisonDetector there(clock, PoisonDetector::Parameters{});
   const RequestFingerprint popular(1);
-  here.OnCrash(Marks{popular, kPoison, popular, popular});
+  here.OnCrash(Fingerprints{popular, kPoison, popular, popular});
   CHECK_FALSE(here.IsQuarantined(popular));
-  there.Merge(here.TakeReports());
+  there.MergePeerReports(here.TakeReports());
   CHECK_FALSE(there.IsQuarantined(popular));
 }
 
@@ -53,12 +53,12 @@
   ManualClock clock;
   PoisonDetector here(clock, PoisonDetector::Parameters{});
   PoisonDetector there(clock, PoisonDetector::Parameters{});
-  here.OnCrash(Marks{kPoison});
-  here.OnCrash(Marks{kPoison});
-  there.Merge(here.TakeReports());
-  there.Merge(here.TakeReports());
+  here.OnCrash(Fingerprints{kPoison});
+  here.OnCrash(Fingerprints{kPoison});
+  there.MergePeerReports(here.TakeReports());
+  there.MergePeerReports(here.TakeReports());
   CHECK_FALSE(there.IsQuarantined(kPoison));
-  there.OnCrash(Marks{kPoison});
+  there.OnCrash(Fingerprints{kPoison});
   CHECK(there.IsQuarantined(kPoison));
 }
 
@@ -70,11 +70,11 @@
   parameters.max_suspects = 10;
   PoisonDetector detector(clock, parameters);
   for (int crash = 0; crash < 3; ++crash) {
-    detector.OnCrash(Marks{kPoison});
+    detector.OnCrash(Fingerprints{kPoison});
   }
   for (std::uint64_t suspect = 0; suspect < 1000; ++suspect) {
     clock.Advance(std::chrono::milliseconds(1));
-    detector.OnCrash(Marks{RequestFingerprint(suspect)});
+    detector.OnCrash(Fingerprints{RequestFingerprint(suspect)});
   }
   CHECK(detector.suspect_count() == 10);
   CHECK(detector.IsQuarantined(kPoison));
--- a/modules/coordination/load/move_plan.h
+++ b/modules/coordination/load/rebalancing_plan.h
@@ -8,13 +8,14 @@
 namespace citrongrade {
 
 // What one owner should give away now; empty nearly always.
-struct MovePlan {
+struct RebalancingPlan {
   std::vector<SlotMove> moves;
   std::vector<KeyIsolation> isolations;
 
   bool empty() const { return moves.empty() && isolations.empty(); }
 
-  friend auto operator<=>(const MovePlan&, const MovePlan&) = default;
+  friend auto operator<=>(const RebalancingPlan&,
+                          const RebalancingPlan&) = default;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/load/request_facts.h
+++ b/modules/coordination/load/request_metadata.h
@@ -10,7 +10,7 @@
 namespace citrongrade {
 
 // What the decisions under load know of a request; never its content.
-struct RequestFacts {
+struct RequestMetadata {
   RequestTicket ticket;
   CallerHash caller;
   KeyHash key;
@@ -19,7 +19,8 @@
   std::size_t bytes = 0;
   Clock::TimePoint deadline;
 
-  friend auto operator<=>(const RequestFacts&, const RequestFacts&) = default;
+  friend auto operator<=>(const RequestMetadata&,
+                          const RequestMetadata&) = default;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/load/request_queue.cc
+++ b/modules/coordination/load/request_queue.cc
@@ -15,57 +15,58 @@
 namespace {
 
 // Work in a body grows with its size; below this, requests cost alike.
-constexpr double kBytesPerStep = 1024.0 * 1024.0;
+constexpr double kBytesPerCostUnit = 1024.0 * 1024.0;
 
 // A caller with more than this many times the mean is over its share.
-constexpr double kMostOfMean = 2;
+constexpr double kOverShareFactor = 2;
 
 // Where a request stands: by finish tag, then by arrival.
-struct Place {
-  double tag = 0;
+struct QueuePosition {
+  double finish_tag = 0;
   std::uint64_t arrival = 0;
 
-  friend auto operator<=>(const Place&, const Place&) = default;
+  friend auto operator<=>(const QueuePosition&, const QueuePosition&) = default;
 };
 
 // The standing of one caller or key.
 struct Flow {
   // Where its next request starts, unless virtual time has passed it.
-  double next_start = 0;
+  double next_start_tag = 0;
   std::size_t waiting = 0;
 };
 
-struct Item {
-  RequestQueue::Waiting waiting;
-  double start = 0;
-  double key_end = 0;
+struct QueueEntry {
+  RequestQueue::QueuedRequest waiting;
+  double start_tag = 0;
+  double key_finish_tag = 0;
 };
 
-double StepsOf(const RequestFacts& facts) {
-  return std::max(1.0, static_cast<double>(facts.bytes) / kBytesPerStep);
+double CostOf(const RequestMetadata& facts) {
+  return std::max(1.0, static_cast<double>(facts.bytes) / kBytesPerCostUnit);
 }
 
 // An ordered map that also tells the rank of a place in logarithmic time.
-using Order = __gnu_pbds::tree<Place,
-                               Item,
-                               std::less<>,
-                               __gnu_pbds::rb_tree_tag,
-                               __gnu_pbds::tree_order_statistics_node_update>;
+using OrderedEntries =
+    __gnu_pbds::tree<QueuePosition,
+                     QueueEntry,
+                     std::less<>,
+                     __gnu_pbds::rb_tree_tag,
+                     __gnu_pbds::tree_order_statistics_node_update>;
 
 template <typename Hash>
 class FlowTable {
  public:
   explicit FlowTable(std::size_t bound) : m_bound(bound) {}
 
-  double NextStart(Hash hash) const {
+  double NextStartTag(Hash hash) const {
     const auto found = m_flows.find(hash);
-    return found == m_flows.end() ? 0 : found->second.next_start;
+    return found == m_flows.end() ? 0 : found->second.next_start_tag;
   }
 
   void Add(Hash hash, double end) {
-    ForgetIdleAtBound();
+    RemoveIdleAtBound();
     Flow& flow = m_flows[hash];
-    flow.next_start = end;
+    flow.next_start_tag = end;
     m_active += flow.waiting == 0 ? 1 : 0;
     ++flow.waiting;
   }
@@ -89,8 +90,8 @@
   // the last one: the flow's earlier ones still count.
   void Refund(Hash hash, double start, double end) {
     Flow& flow = m_flows.at(hash);
-    if (flow.next_start == end) {
-      flow.next_start = start;
+    if (flow.next_start_tag == end) {
+      flow.next_start_tag = start;
     }
   }
 
@@ -100,7 +101,7 @@
   // Flows that nothing waits for are kept only for their tags. Callers that
   // come once each would otherwise grow the table without end while the queue
   // stays busy; forgetting gives such a caller one place too early, no more.
-  void ForgetIdleAtBound() {
+  void RemoveIdleAtBound() {
     if (m_flows.size() < m_bound) {
       return;
     }
@@ -122,24 +123,24 @@
         m_callers(2 * parameters.max_count + 1),
         m_keys(2 * parameters.max_count + 1) {}
 
-  std::size_t RankOf(const RequestFacts& facts) const {
-    return m_order.order_of_key(PlaceOf(facts));
+  std::size_t RankOf(const RequestMetadata& facts) const {
+    return m_entries.order_of_key(PositionOf(facts));
   }
 
-  bool IsOverShare(const RequestFacts& facts) const {
+  bool IsOverShare(const RequestMetadata& facts) const {
     if (m_callers.active() == 0) {
       return false;
     }
-    const double mean = static_cast<double>(m_order.size()) /
+    const double mean = static_cast<double>(m_entries.size()) /
                         static_cast<double>(m_callers.active());
-    const double most = kMostOfMean * mean + 1;
+    const double most = kOverShareFactor * mean + 1;
     return m_callers.Waiting(facts.caller) > most ||
-           m_keys.Waiting(facts.key) > m_parameters.callers_per_key * most;
+           m_keys.Waiting(facts.key) > m_parameters.key_weight * most;
   }
 
-  PushResult Push(const RequestFacts& facts, Clock::TimePoint now) {
+  PushResult Push(const RequestMetadata& facts, Clock::TimePoint now) {
     PushResult result;
-    const Place place = PlaceOf(facts);
+    const QueuePosition place = PositionOf(facts);
     if (!MakeRoom(facts, place, result)) {
       return result;
     }
@@ -148,20 +149,20 @@
     return result;
   }
 
-  std::optional<Waiting> Pop() {
-    if (m_order.empty()) {
+  std::optional<QueuedRequest> Pop() {
+    if (m_entries.empty()) {
       return std::nullopt;
     }
-    const auto first = m_order.begin();
-    m_virtual_time = first->first.tag;
-    const Waiting waiting = first->second.waiting;
+    const auto first = m_entries.begin();
+    m_virtual_time = first->first.finish_tag;
+    const QueuedRequest waiting = first->second.waiting;
     Erase(first->first);
     return waiting;
   }
 
   bool Cancel(RequestTicket ticket) {
-    const auto found = m_places.find(ticket);
-    if (found == m_places.end()) {
+    const auto found = m_positions.find(ticket);
+    if (found == m_positions.end()) {
       return false;
     }
     Refund(found->second);
@@ -169,53 +170,55 @@
     return true;
   }
 
-  std::vector<RequestFacts> TakeHopeless(Clock::TimePoint first_end,
-                                         Clock::Duration per_rank) {
-    std::vector<Place> hopeless;
+  std::vector<RequestMetadata> TakeHopeless(Clock::TimePoint first_end,
+                                            Clock::Duration per_rank) {
+    std::vector<QueuePosition> hopeless;
     Clock::TimePoint end = first_end;
-    for (const auto& [place, item] : m_order) {
+    for (const auto& [place, item] : m_entries) {
       if (end > item.waiting.facts.deadline) {
         hopeless.push_back(place);
       } else {
         end += per_rank;
       }
     }
-    return TakeBackwards(hopeless);
+    return TakeFromBack(hopeless);
   }
 
-  std::vector<RequestFacts> TakeAll() {
-    std::vector<Place> all;
-    all.reserve(m_order.size());
-    for (const auto& [place, item] : m_order) {
+  std::vector<RequestMetadata> TakeAll() {
+    std::vector<QueuePosition> all;
+    all.reserve(m_entries.size());
+    for (const auto& [place, item] : m_entries) {
       all.push_back(place);
     }
-    return TakeBackwards(all);
+    return TakeFromBack(all);
   }
 
-  std::size_t size() const { return m_order.size(); }
+  std::size_t size() const { return m_entries.size(); }
   std::size_t bytes() const { return m_bytes; }
 
  private:
-  double StartOf(const RequestFacts& facts) const {
-    return std::max({m_virtual_time, m_callers.NextStart(facts.caller),
-                     m_keys.NextStart(facts.key)});
+  double StartTagOf(const RequestMetadata& facts) const {
+    return std::max({m_virtual_time, m_callers.NextStartTag(facts.caller),
+                     m_keys.NextStartTag(facts.key)});
   }
 
-  Place PlaceOf(const RequestFacts& facts) const {
-    return {StartOf(facts) + StepsOf(facts), m_next_arrival};
+  QueuePosition PositionOf(const RequestMetadata& facts) const {
+    return {StartTagOf(facts) + CostOf(facts), m_next_arrival};
   }
 
   // Evicts from the far end while the new one is nearer the front.
-  bool MakeRoom(const RequestFacts& facts, Place place, PushResult& result) {
+  bool MakeRoom(const RequestMetadata& facts,
+                QueuePosition place,
+                PushResult& result) {
     if (facts.bytes > m_parameters.max_bytes || m_parameters.max_count == 0) {
-      result.bytes_decided = facts.bytes > m_parameters.max_bytes;
+      result.limited_by_bytes = facts.bytes > m_parameters.max_bytes;
       return false;
     }
-    if (!CanMakeRoom(facts, place, result.bytes_decided)) {
+    if (!CanMakeRoom(facts, place, result.limited_by_bytes)) {
       return false;
     }
-    while (!Fits(facts, m_order.size(), m_bytes)) {
-      const Place last = std::prev(m_order.end())->first;
+    while (!Fits(facts, m_entries.size(), m_bytes)) {
+      const QueuePosition last = std::prev(m_entries.end())->first;
       result.evicted.push_back(Take(last));
     }
     return true;
@@ -223,10 +226,12 @@
 
   // Decided before anything is evicted: evicting and then refusing the new one
   // as well would cost two requests for nothing.
-  bool CanMakeRoom(const RequestFacts& facts, Place place, bool& by_bytes) {
-    std::size_t count = m_order.size();
+  bool CanMakeRoom(const RequestMetadata& facts,
+                   QueuePosition place,
+                   bool& by_bytes) {
+    std::size_t count = m_entries.size();
     std::size_t bytes = m_bytes;
-    auto next = m_order.end();
+    auto next = m_entries.end();
     while (!Fits(facts, count, bytes)) {
       by_bytes = count < m_parameters.max_count;
       --next;
@@ -239,23 +244,25 @@
     return true;
   }
 
-  bool Fits(const RequestFacts& facts,
+  bool Fits(const RequestMetadata& facts,
             std::size_t count,
             std::size_t bytes) const {
     return count < m_parameters.max_count &&
            bytes + facts.bytes <= m_parameters.max_bytes;
   }
 
-  void Insert(const RequestFacts& facts, Place place, Clock::TimePoint now) {
-    const double steps = StepsOf(facts);
-    Item item;
+  void Insert(const RequestMetadata& facts,
+              QueuePosition place,
+              Clock::TimePoint now) {
+    const double steps = CostOf(facts);
+    QueueEntry item;
     item.waiting = {facts, now};
-    item.start = place.tag - steps;
-    item.key_end = item.start + steps / m_parameters.callers_per_key;
-    m_callers.Add(facts.caller, place.tag);
-    m_keys.Add(facts.key, item.key_end);
-    m_order.insert({place, item});
-    const bool is_new = m_places.emplace(facts.ticket, place).second;
+    item.start_tag = place.finish_tag - steps;
+    item.key_finish_tag = item.start_tag + steps / m_parameters.key_weight;
+    m_callers.Add(facts.caller, place.finish_tag);
+    m_keys.Add(facts.key, item.key_finish_tag);
+    m_entries.insert({place, item});
+    const bool is_new = m_positions.emplace(facts.ticket, place).second;
     // The caller used one ticket for two requests.
     assert(is_new);
     static_cast<void>(is_new);
@@ -264,8 +271,9 @@
   }
 
   // The last place first: a flow's tags are refunded from its end.
-  std::vector<RequestFacts> TakeBackwards(const std::vector<Place>& places) {
-    std::vector<RequestFacts> taken;
+  std::vector<RequestMetadata> TakeFromBack(
+      const std::vector<QueuePosition>& places) {
+    std::vector<RequestMetadata> taken;
     taken.reserve(places.size());
     for (auto place = places.rbegin(); place != places.rend(); ++place) {
       taken.push_back(Take(*place));
@@ -273,42 +281,43 @@
     return taken;
   }
 
-  RequestFacts Take(Place place) {
-    const RequestFacts facts = m_order.find(place)->second.waiting.facts;
+  RequestMetadata Take(QueuePosition place) {
+    const RequestMetadata facts = m_entries.find(place)->second.waiting.facts;
     Refund(place);
     Erase(place);
     return facts;
   }
 
-  void Refund(Place place) {
-    const Item& item = m_order.find(place)->second;
-    m_callers.Refund(item.waiting.facts.caller, item.start, place.tag);
-    m_keys.Refund(item.waiting.facts.key, item.start, item.key_end);
+  void Refund(QueuePosition place) {
+    const QueueEntry& item = m_entries.find(place)->second;
+    m_callers.Refund(item.waiting.facts.caller, item.start_tag,
+                     place.finish_tag);
+    m_keys.Refund(item.waiting.facts.key, item.start_tag, item.key_finish_tag);
   }
 
-  void Erase(Place place) {
-    const RequestFacts facts = m_order.find(place)->second.waiting.facts;
+  void Erase(QueuePosition place) {
+    const RequestMetadata facts = m_entries.find(place)->second.waiting.facts;
     m_callers.Remove(facts.caller);
     m_keys.Remove(facts.key);
-    m_places.erase(facts.ticket);
+    m_positions.erase(facts.ticket);
     m_bytes -= facts.bytes;
-    m_order.erase(place);
-    if (m_order.empty()) {
-      BeginAnew();
+    m_entries.erase(place);
+    if (m_entries.empty()) {
+      ResetTags();
     }
   }
 
   // With nothing waiting nobody is ahead of anybody; this also keeps tags
   // small, so that steps never vanish in a double's rounding.
-  void BeginAnew() {
+  void ResetTags() {
     m_virtual_time = 0;
     m_callers.Clear();
     m_keys.Clear();
   }
 
   const Parameters m_parameters;
-  Order m_order;
-  std::unordered_map<RequestTicket, Place> m_places;
+  OrderedEntries m_entries;
+  std::unordered_map<RequestTicket, QueuePosition> m_positions;
   FlowTable<CallerHash> m_callers;
   FlowTable<KeyHash> m_keys;
   double m_virtual_time = 0;
@@ -321,20 +330,20 @@
 
 RequestQueue::~RequestQueue() = default;
 
-std::size_t RequestQueue::RankOf(const RequestFacts& facts) const {
+std::size_t RequestQueue::RankOf(const RequestMetadata& facts) const {
   return m_impl->RankOf(facts);
 }
 
-RequestQueue::PushResult RequestQueue::Push(const RequestFacts& facts,
+RequestQueue::PushResult RequestQueue::Push(const RequestMetadata& facts,
                                             Clock::TimePoint now) {
   return m_impl->Push(facts, now);
 }
 
-std::optional<RequestQueue::Waiting> RequestQueue::Pop() {
+std::optional<RequestQueue::QueuedRequest> RequestQueue::Pop() {
   return m_impl->Pop();
 }
 
-bool RequestQueue::IsOverShare(const RequestFacts& facts) const {
+bool RequestQueue::IsOverFairShare(const RequestMetadata& facts) const {
   return m_impl->IsOverShare(facts);
 }
 
@@ -342,12 +351,13 @@
   return m_impl->Cancel(ticket);
 }
 
-std::vector<RequestFacts> RequestQueue::TakeHopeless(Clock::TimePoint first_end,
-                                                     Clock::Duration per_rank) {
+std::vector<RequestMetadata> RequestQueue::TakeUnmeetable(
+    Clock::TimePoint first_end,
+    Clock::Duration per_rank) {
   return m_impl->TakeHopeless(first_end, per_rank);
 }
 
-std::vector<RequestFacts> RequestQueue::TakeAll() {
+std::vector<RequestMetadata> RequestQueue::TakeAll() {
   return m_impl->TakeAll();
 }
 
--- a/modules/coordination/load/request_queue.h
+++ b/modules/coordination/load/request_queue.h
@@ -7,7 +7,7 @@
 
 #include "modules/coordination/clock.h"
 #include "modules/coordination/load/load_identifiers.h"
-#include "modules/coordination/load/request_facts.h"
+#include "modules/coordination/load/request_metadata.h"
 
 namespace citrongrade {
 
@@ -34,7 +34,7 @@
   struct Parameters {
     std::size_t max_count = 2048;
     std::size_t max_bytes = std::size_t{16} << 20U;
-    double callers_per_key = 8;
+    double key_weight = 8;
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
@@ -42,9 +42,9 @@
   struct PushResult {
     bool accepted = false;
     // Made room for the new one; never contains the new one.
-    std::vector<RequestFacts> evicted;
+    std::vector<RequestMetadata> evicted;
     // True when the bound on bytes decided, false for the one on count.
-    bool bytes_decided = false;
+    bool limited_by_bytes = false;
 
     friend auto operator<=>(const PushResult&, const PushResult&) = default;
   };
@@ -55,32 +55,33 @@
   RequestQueue& operator=(const RequestQueue&) = delete;
 
   // How many of those that wait would go before this one.
-  std::size_t RankOf(const RequestFacts& facts) const;
+  std::size_t RankOf(const RequestMetadata& facts) const;
 
   // Whether its caller or its key already has more than twice the mean share of
   // what waits. Not for a queue that few wait in: all have too much of that.
-  bool IsOverShare(const RequestFacts& facts) const;
+  bool IsOverFairShare(const RequestMetadata& facts) const;
 
-  PushResult Push(const RequestFacts& facts, Clock::TimePoint now);
+  PushResult Push(const RequestMetadata& facts, Clock::TimePoint now);
 
-  struct Waiting {
-    RequestFacts facts;
-    Clock::TimePoint since;
+  struct QueuedRequest {
+    RequestMetadata facts;
+    Clock::TimePoint enqueued_at;
 
-    friend auto operator<=>(const Waiting&, const Waiting&) = default;
+    friend auto operator<=>(const QueuedRequest&,
+                            const QueuedRequest&) = default;
   };
 
-  std::optional<Waiting> Pop();
+  std::optional<QueuedRequest> Pop();
 
   // False when it does not wait here.
   bool Cancel(RequestTicket ticket);
 
   // Takes out all that can't be finished in time. The request at rank r is
   // expected to end at `first_end` + r * `per_rank`.
-  std::vector<RequestFacts> TakeHopeless(Clock::TimePoint first_end,
-                                         Clock::Duration per_rank);
+  std::vector<RequestMetadata> TakeUnmeetable(Clock::TimePoint first_end,
+                                              Clock::Duration per_rank);
 
-  std::vector<RequestFacts> TakeAll();
+  std::vector<RequestMetadata> TakeAll();
 
   std::size_t size() const;
   std::size_t bytes() const;
--- a/modules/coordination/load/request_queue_test.cc
+++ b/modules/coordination/load/request_queue_test.cc
@@ -10,11 +10,11 @@
 
 constexpr Clock::TimePoint kNow{std::chrono::hours(1)};
 
-RequestFacts Request(std::uint64_t ticket,
-                     std::uint64_t caller,
-                     std::uint64_t key,
-                     std::size_t bytes = 100) {
-  RequestFacts facts;
+RequestMetadata Request(std::uint64_t ticket,
+                        std::uint64_t caller,
+                        std::uint64_t key,
+                        std::size_t bytes = 100) {
+  RequestMetadata facts;
   facts.ticket = RequestTicket(ticket);
   facts.caller = CallerHash(caller);
   facts.key = KeyHash(key);
@@ -104,7 +104,7 @@
   queue.Push(Request(1, 1, 1, 600), kNow);
   const auto second = queue.Push(Request(2, 1, 2, 600), kNow);
   CHECK_FALSE(second.accepted);
-  CHECK(second.bytes_decided);
+  CHECK(second.limited_by_bytes);
   const auto huge = queue.Push(Request(3, 2, 3, 5000), kNow);
   CHECK_FALSE(huge.accepted);
   CHECK(huge.evicted.empty());
@@ -114,11 +114,11 @@
 TEST_CASE("those that can't end in time go, and make room for later ones") {
   RequestQueue queue(RequestQueue::Parameters{});
   for (std::uint64_t i = 0; i < 4; ++i) {
-    RequestFacts facts = Request(i, i, i);
+    RequestMetadata facts = Request(i, i, i);
     facts.deadline = kNow + std::chrono::milliseconds(i == 1 ? 10 : 350);
     queue.Push(facts, kNow);
   }
-  const auto hopeless = queue.TakeHopeless(
+  const auto hopeless = queue.TakeUnmeetable(
       kNow + std::chrono::milliseconds(100), std::chrono::milliseconds(100));
   REQUIRE(hopeless.size() == 1);
   CHECK(hopeless[0].ticket == RequestTicket(1));
--- a/modules/coordination/load/retry_after_pacer.cc
+++ b/modules/coordination/load/retry_after_pacer.cc
@@ -11,22 +11,25 @@
     : m_clock(clock),
       m_random(random),
       m_parameters(parameters),
-      m_next_return(clock.Now()) {}
+      m_next_retry_time(clock.Now()) {}
 
-std::chrono::milliseconds RetryAfterPacer::Next(double capacity_per_second,
-                                                Clock::Duration expected_wait) {
+std::chrono::milliseconds RetryAfterPacer::NextRetryAfter(
+    double capacity_per_second,
+    Clock::Duration expected_wait) {
   const Clock::TimePoint now = m_clock.Now();
   const Clock::Duration least =
-      std::max<Clock::Duration>(m_parameters.shortest, expected_wait);
-  const Clock::TimePoint moment = std::max(m_next_return, now + least);
-  if (moment - now > m_parameters.longest) {
-    const std::int64_t longest = m_parameters.longest.count();
+      std::max<Clock::Duration>(m_parameters.min_retry_after, expected_wait);
+  const Clock::TimePoint moment = std::max(m_next_retry_time, now + least);
+  if (moment - now > m_parameters.max_retry_after) {
+    const std::int64_t longest = m_parameters.max_retry_after.count();
     std::uniform_int_distribution<std::int64_t> spread(longest / 2, longest);
     return std::chrono::milliseconds(spread(m_random));
   }
   const std::chrono::duration<double> step(
-      1.0 / (m_parameters.return_share * std::max(capacity_per_second, 1.0)));
-  m_next_return = moment + std::chrono::duration_cast<Clock::Duration>(step);
+      1.0 /
+      (m_parameters.retry_capacity_share * std::max(capacity_per_second, 1.0)));
+  m_next_retry_time =
+      moment + std::chrono::duration_cast<Clock::Duration>(step);
   return std::chrono::ceil<std::chrono::milliseconds>(moment - now);
 }
 
--- a/modules/coordination/load/retry_after_pacer.h
+++ b/modules/coordination/load/retry_after_pacer.h
@@ -21,9 +21,9 @@
  public:
   struct Parameters {
     // Part of the capacity that is left for callers who come back.
-    double return_share = 0.25;
-    std::chrono::milliseconds shortest{100};
-    std::chrono::milliseconds longest{20'000};
+    double retry_capacity_share = 0.25;
+    std::chrono::milliseconds min_retry_after{100};
+    std::chrono::milliseconds max_retry_after{20'000};
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
@@ -34,14 +34,14 @@
 
   // `capacity_per_second`: requests that the target finishes now. The earliest
   // moment given out is `expected_wait` away.
-  std::chrono::milliseconds Next(double capacity_per_second,
-                                 Clock::Duration expected_wait);
+  std::chrono::milliseconds NextRetryAfter(double capacity_per_second,
+                                           Clock::Duration expected_wait);
 
  private:
   const Clock& m_clock;
   std::mt19937_64& m_random;
   Parameters m_parameters;
-  Clock::TimePoint m_next_return;
+  Clock::TimePoint m_next_retry_time;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/load/retry_after_pacer_test.cc
+++ b/modules/coordination/load/retry_after_pacer_test.cc
@@ -18,7 +18,7 @@
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
   std::map<std::int64_t, int> returns_by_second;
   for (int caller = 0; caller < 500; ++caller) {
-    ++returns_by_second[pacer.Next(100, milliseconds(0)) /
+    ++returns_by_second[pacer.NextRetryAfter(100, milliseconds(0)) /
                         std::chrono::seconds(1)];
   }
   for (const auto& [second, returns] : returns_by_second) {
@@ -32,7 +32,7 @@
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
   std::map<std::int64_t, int> returns_by_second;
   for (int caller = 0; caller < 20'000; ++caller) {
-    const milliseconds pause = pacer.Next(100, milliseconds(0));
+    const milliseconds pause = pacer.NextRetryAfter(100, milliseconds(0));
     CHECK(pause <= milliseconds(20'001));
     ++returns_by_second[pause / std::chrono::seconds(1)];
   }
@@ -43,7 +43,7 @@
   ManualClock clock;
   std::mt19937_64 random(1);
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
-  CHECK(pacer.Next(100, milliseconds(700)) >= milliseconds(700));
+  CHECK(pacer.NextRetryAfter(100, milliseconds(700)) >= milliseconds(700));
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/retry_allowance.h
+++ b/modules/coordination/load/retry_allowance.h
@@ -11,11 +11,11 @@
 struct RetryAllowance {
   std::uint8_t attempts_left = 2;
 
-  constexpr bool spent() const { return attempts_left == 0; }
+  constexpr bool exhausted() const { return attempts_left == 0; }
 
   // What to send along with the next attempt. Of a spent one: a spent one.
   constexpr RetryAllowance AfterRetry() const {
-    return {static_cast<std::uint8_t>(spent() ? 0 : attempts_left - 1)};
+    return {static_cast<std::uint8_t>(exhausted() ? 0 : attempts_left - 1)};
   }
 
   friend constexpr auto operator<=>(const RetryAllowance&,
--- a/modules/coordination/load/retry_backoff.cc
+++ b/modules/coordination/load/retry_backoff.cc
@@ -9,7 +9,7 @@
 
 // Past this many doublings every pause is the longest one, and a shift by more
 // bits than the number has would be undefined.
-constexpr unsigned kMostDoublings = 20;
+constexpr unsigned kMaxDoublings = 20;
 
 }  // namespace
 
@@ -17,13 +17,12 @@
                            const Parameters& parameters)
     : m_random(random), m_parameters(parameters) {}
 
-std::chrono::milliseconds RetryBackoff::Pause(
+std::chrono::milliseconds RetryBackoff::Delay(
     unsigned retry,
     std::chrono::milliseconds retry_after) {
-  const std::int64_t factor = std::int64_t{1}
-                              << std::min(retry, kMostDoublings);
+  const std::int64_t factor = std::int64_t{1} << std::min(retry, kMaxDoublings);
   const auto ceiling =
-      std::min(m_parameters.longest, m_parameters.first * factor);
+      std::min(m_parameters.max_delay, m_parameters.initial_delay * factor);
   std::uniform_int_distribution<std::int64_t> jitter(0, ceiling.count());
   return retry_after + std::chrono::milliseconds(jitter(m_random));
 }
--- a/modules/coordination/load/retry_backoff.h
+++ b/modules/coordination/load/retry_backoff.h
@@ -14,8 +14,8 @@
 class RetryBackoff {
  public:
   struct Parameters {
-    std::chrono::milliseconds first{10};
-    std::chrono::milliseconds longest{1000};
+    std::chrono::milliseconds initial_delay{10};
+    std::chrono::milliseconds max_delay{1000};
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
@@ -24,7 +24,7 @@
 
   // `retry`: 0 for the first. Never shorter than `retry_after`, which the one
   // that refused has asked for.
-  std::chrono::milliseconds Pause(unsigned retry,
+  std::chrono::milliseconds Delay(unsigned retry,
                                   std::chrono::milliseconds retry_after);
 
  private:
--- a/modules/coordination/load/retry_backoff_test.cc
+++ b/modules/coordination/load/retry_backoff_test.cc
@@ -16,7 +16,7 @@
   RetryBackoff backoff(random, {milliseconds(10), milliseconds(1000)});
   std::set<milliseconds> pauses;
   for (int request = 0; request < 1000; ++request) {
-    pauses.insert(backoff.Pause(6, milliseconds(0)));
+    pauses.insert(backoff.Delay(6, milliseconds(0)));
   }
   CHECK(pauses.size() > 300);
   CHECK(*pauses.rbegin() <= milliseconds(640));
@@ -26,7 +26,7 @@
   std::mt19937_64 random(1);
   RetryBackoff backoff(random, {milliseconds(10), milliseconds(1000)});
   for (unsigned retry = 0; retry < 100; ++retry) {
-    const milliseconds pause = backoff.Pause(retry, milliseconds(250));
+    const milliseconds pause = backoff.Delay(retry, milliseconds(250));
     CHECK(pause >= milliseconds(250));
     CHECK(pause <= milliseconds(1250));
   }
--- a/modules/coordination/load/retry_budget.cc
+++ b/modules/coordination/load/retry_budget.cc
@@ -5,15 +5,15 @@
 namespace citrongrade {
 
 RetryBudget::RetryBudget(const Parameters& parameters)
-    : m_parameters(parameters), m_tokens(parameters.burst) {}
+    : m_parameters(parameters), m_tokens(parameters.max_tokens) {}
 
-void RetryBudget::OnFirstTry() {
-  m_tokens = std::min(m_parameters.burst,
-                      m_tokens + m_parameters.share_of_first_tries);
+void RetryBudget::OnFirstAttempt() {
+  m_tokens =
+      std::min(m_parameters.max_tokens, m_tokens + m_parameters.retry_ratio);
 }
 
-bool RetryBudget::TryRetry(RetryAllowance allowance) {
-  if (allowance.spent() || m_tokens < 1) {
+bool RetryBudget::TryAcquire(RetryAllowance allowance) {
+  if (allowance.exhausted() || m_tokens < 1) {
     return false;
   }
   m_tokens -= 1;
--- a/modules/coordination/load/retry_budget.h
+++ b/modules/coordination/load/retry_budget.h
@@ -17,18 +17,18 @@
 class RetryBudget {
  public:
   struct Parameters {
-    double share_of_first_tries = 0.1;
-    double burst = 10;
+    double retry_ratio = 0.1;
+    double max_tokens = 10;
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
 
   explicit RetryBudget(const Parameters& parameters);
 
-  void OnFirstTry();
+  void OnFirstAttempt();
 
   // Whether to retry a request that carries `allowance`; pays for it if so.
-  bool TryRetry(RetryAllowance allowance);
+  bool TryAcquire(RetryAllowance allowance);
 
  private:
   Parameters m_parameters;
--- a/modules/coordination/load/retry_budget_test.cc
+++ b/modules/coordination/load/retry_budget_test.cc
@@ -10,8 +10,8 @@
   RetryBudget budget(RetryBudget::Parameters{});
   int retries = 0;
   for (int request = 0; request < 10'000; ++request) {
-    budget.OnFirstTry();
-    retries += budget.TryRetry(RetryAllowance{2}) ? 1 : 0;
+    budget.OnFirstAttempt();
+    retries += budget.TryAcquire(RetryAllowance{2}) ? 1 : 0;
   }
   CHECK(retries <= 1010);
   CHECK(retries >= 990);
@@ -21,9 +21,9 @@
   RetryBudget budget(RetryBudget::Parameters{});
   RetryAllowance allowance{2};
   allowance = allowance.AfterRetry().AfterRetry();
-  CHECK_FALSE(budget.TryRetry(allowance));
+  CHECK_FALSE(budget.TryAcquire(allowance));
   CHECK(allowance.AfterRetry() == allowance);
-  CHECK(budget.TryRetry(RetryAllowance{1}));
+  CHECK(budget.TryAcquire(RetryAllowance{1}));
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/service_time_estimator.h
+++ b/modules/coordination/load/service_time_estimator.h
@@ -20,7 +20,7 @@
 
   Clock::Duration mean() const { return m_mean; }
   // Mean and four deviations: few requests take longer.
-  Clock::Duration cautious() const { return m_mean + 4 * m_deviation; }
+  Clock::Duration upper_estimate() const { return m_mean + 4 * m_deviation; }
 
  private:
   bool m_has_sample = false;
--- a/modules/coordination/load/service_time_estimator_test.cc
+++ b/modules/coordination/load/service_time_estimator_test.cc
@@ -15,13 +15,13 @@
   int over_cautious = 0;
   for (int run = 0; run < 1000; ++run) {
     const milliseconds latency(10 + run * 7 % 21);
-    over_cautious += run > 50 && latency > estimator.cautious() ? 1 : 0;
+    over_cautious += run > 50 && latency > estimator.upper_estimate() ? 1 : 0;
     estimator.OnSample(latency);
   }
   CHECK(over_cautious == 0);
   CHECK(estimator.mean() > milliseconds(14));
   CHECK(estimator.mean() < milliseconds(26));
-  CHECK(estimator.cautious() < milliseconds(70));
+  CHECK(estimator.upper_estimate() < milliseconds(70));
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/slot_move_planner.cc
+++ b/modules/coordination/load/slot_move_planner.cc
@@ -15,7 +15,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-double ShareOf(const MemberLoad& member) {
+double Utilization(const MemberLoad& member) {
   return member.capacity > 0 ? member.load / member.capacity : 0;
 }
 
@@ -30,16 +30,16 @@
 }
 
 // Loads of this round, as they become while moves are chosen.
-struct Round {
+struct PlanningRound {
   std::vector<MemberLoad> members;
   std::vector<SlotLoad> slots;
   std::size_t self = 0;
-  double mean_share = 0;
+  double mean_utilization = 0;
 
   MemberLoad& own() { return members[self]; }
   const MemberLoad& own() const { return members[self]; }
-  double OwnRatio() const { return ShareOf(own()) / mean_share; }
-  double MeanLoad() const { return mean_share * own().capacity; }
+  double LoadRatio() const { return Utilization(own()) / mean_utilization; }
+  double MeanLoad() const { return mean_utilization * own().capacity; }
 };
 
 }  // namespace
@@ -52,16 +52,16 @@
       : m_clock(clock),
         m_random(random),
         m_parameters(parameters),
-        m_budget(parameters.moves_per_minute),
-        m_budget_filled(clock.Now()) {}
-
-  MovePlan Plan(const MemberId& self,
-                std::span<const SlotLoad> own_slots,
-                std::span<const MemberLoad> members) {
-    FillBudget();
-    MovePlan plan;
-    std::optional<Round> round = MakeRound(self, own_slots, members);
-    if (!round || !UpdateShedding(*round)) {
+        m_move_budget(parameters.moves_per_minute),
+        m_budget_refilled_at(clock.Now()) {}
+
+  RebalancingPlan Plan(const MemberId& self,
+                       std::span<const SlotLoad> own_slots,
+                       std::span<const MemberLoad> members) {
+    RefillBudget();
+    RebalancingPlan plan;
+    std::optional<PlanningRound> round = MakeRound(self, own_slots, members);
+    if (!round || !UpdateRebalancing(*round)) {
       return plan;
     }
     IsolateKeys(*round, plan);
@@ -70,31 +70,34 @@
   }
 
   void OnIsolationEnded() {
-    if (m_isolated > 0) {
-      --m_isolated;
+    if (m_isolated_key_count > 0) {
+      --m_isolated_key_count;
     }
   }
 
  private:
-  void FillBudget() {
+  void RefillBudget() {
     const Clock::TimePoint now = m_clock.Now();
-    const double minutes = ToSeconds(now - m_budget_filled) / kSecondsPerMinute;
-    m_budget = std::min(m_parameters.moves_per_minute,
-                        m_budget + minutes * m_parameters.moves_per_minute);
-    m_budget_filled = now;
+    const double minutes =
+        ToSeconds(now - m_budget_refilled_at) / kSecondsPerMinute;
+    m_move_budget =
+        std::min(m_parameters.moves_per_minute,
+                 m_move_budget + minutes * m_parameters.moves_per_minute);
+    m_budget_refilled_at = now;
   }
 
-  static std::optional<Round> MakeRound(const MemberId& self,
-                                        std::span<const SlotLoad> own_slots,
-                                        std::span<const MemberLoad> members) {
-    Round round;
+  static std::optional<PlanningRound> MakeRound(
+      const MemberId& self,
+      std::span<const SlotLoad> own_slots,
+      std::span<const MemberLoad> members) {
+    PlanningRound round;
     round.members.assign(members.begin(), members.end());
     round.slots.assign(own_slots.begin(), own_slots.end());
-    round.mean_share = MeanShare(round.members);
+    round.mean_utilization = MeanShare(round.members);
     const auto own = std::find_if(
         round.members.begin(), round.members.end(),
         [&self](const MemberLoad& member) { return member.member == self; });
-    if (own == round.members.end() || round.mean_share <= 0) {
+    if (own == round.members.end() || round.mean_utilization <= 0) {
       return std::nullopt;
     }
     round.self = static_cast<std::size_t>(own - round.members.begin());
@@ -104,25 +107,28 @@
     return round;
   }
 
-  bool UpdateShedding(const Round& round) {
-    const double ratio = round.OwnRatio();
-    m_rounds_over = ratio > m_parameters.begin_above ? m_rounds_over + 1 : 0;
-    if (m_rounds_over >= m_parameters.rounds_to_begin) {
-      m_shedding = true;
+  bool UpdateRebalancing(const PlanningRound& round) {
+    const double ratio = round.LoadRatio();
+    m_rounds_above_threshold =
+        ratio > m_parameters.start_threshold ? m_rounds_above_threshold + 1 : 0;
+    if (m_rounds_above_threshold >= m_parameters.rounds_to_start) {
+      m_rebalancing = true;
     }
-    if (ratio < m_parameters.stop_below) {
-      m_shedding = false;
+    if (ratio < m_parameters.stop_threshold) {
+      m_rebalancing = false;
     }
-    return m_shedding;
+    return m_rebalancing;
   }
 
-  bool MayMoveMore(const Round& round) const {
-    return m_budget >= 1 && round.OwnRatio() >= m_parameters.stop_below;
+  bool CanMoveMore(const PlanningRound& round) const {
+    return m_move_budget >= 1 &&
+           round.LoadRatio() >= m_parameters.stop_threshold;
   }
 
-  void IsolateKeys(Round& round, MovePlan& plan) {
+  void IsolateKeys(PlanningRound& round, RebalancingPlan& plan) {
     for (SlotLoad& slot : round.slots) {
-      if (!MayMoveMore(round) || m_isolated >= m_parameters.max_isolated_keys) {
+      if (!CanMoveMore(round) ||
+          m_isolated_key_count >= m_parameters.max_isolated_keys) {
         return;
       }
       if (slot.hottest_key && IsHot(round, *slot.hottest_key)) {
@@ -131,78 +137,80 @@
     }
   }
 
-  bool IsHot(const Round& round, const KeyLoad& key) const {
-    return key.load > m_parameters.isolate_above * round.MeanLoad();
+  bool IsHot(const PlanningRound& round, const KeyLoad& key) const {
+    return key.load > m_parameters.isolation_threshold * round.MeanLoad();
   }
 
-  void IsolateKey(Round& round, SlotLoad& slot, MovePlan& plan) {
+  void IsolateKey(PlanningRound& round, SlotLoad& slot, RebalancingPlan& plan) {
     const KeyLoad key = *slot.hottest_key;
     const std::optional<std::size_t> receiver = LeastLoaded(round);
-    if (!receiver || !Pays(round, *receiver, key.load)) {
+    if (!receiver || !IsWorthwhile(round, *receiver, key.load)) {
       return;
     }
     plan.isolations.push_back(
         {key.key, slot.slot, round.members[*receiver].member});
-    ++m_isolated;
+    ++m_isolated_key_count;
     slot.load -= key.load;
     slot.hottest_key.reset();
-    Shift(round, *receiver, key.load);
+    ApplyMove(round, *receiver, key.load);
   }
 
-  void MoveSlots(Round& round, MovePlan& plan) {
+  void MoveSlots(PlanningRound& round, RebalancingPlan& plan) {
     for (const SlotLoad& slot : round.slots) {
-      if (!MayMoveMore(round)) {
+      if (!CanMoveMore(round)) {
         return;
       }
       const auto receiver = BetterOfTwoBelowMean(round);
-      if (!receiver || !Pays(round, *receiver, slot.load)) {
+      if (!receiver || !IsWorthwhile(round, *receiver, slot.load)) {
         continue;
       }
       plan.moves.push_back({slot.slot, round.members[*receiver].member});
-      Shift(round, *receiver, slot.load);
+      ApplyMove(round, *receiver, slot.load);
     }
   }
 
-  void Shift(Round& round, std::size_t receiver, double load) {
+  void ApplyMove(PlanningRound& round, std::size_t receiver, double load) {
     round.own().load -= load;
     round.members[receiver].load += load;
-    m_budget -= 1;
+    m_move_budget -= 1;
   }
 
   // The gain is what the sum of squared loads falls by, half of it, in mean
   // loads: to take from a member far above the mean is worth more than from one
   // just above it, and to overload the receiver instead is worth nothing.
-  bool Pays(const Round& round, std::size_t receiver, double load) const {
+  bool IsWorthwhile(const PlanningRound& round,
+                    std::size_t receiver,
+                    double load) const {
     const double moved = load / round.MeanLoad();
     const double receiver_ratio =
-        ShareOf(round.members[receiver]) / round.mean_share;
-    const double gain = moved * (round.OwnRatio() - receiver_ratio - moved);
-    const double worth = gain * ToSeconds(m_parameters.payback) *
+        Utilization(round.members[receiver]) / round.mean_utilization;
+    const double gain = moved * (round.LoadRatio() - receiver_ratio - moved);
+    const double worth = gain * ToSeconds(m_parameters.payback_period) *
                          m_parameters.unavailability_weight;
     const double cost =
-        ToSeconds(m_parameters.gap_per_move) * m_parameters.churn_weight;
+        ToSeconds(m_parameters.downtime_per_move) * m_parameters.churn_weight;
     return worth > cost;
   }
 
-  static std::optional<std::size_t> LeastLoaded(const Round& round) {
+  static std::optional<std::size_t> LeastLoaded(const PlanningRound& round) {
     std::optional<std::size_t> least;
     for (std::size_t index = 0; index < round.members.size(); ++index) {
       const MemberLoad& member = round.members[index];
       if (index == round.self || member.capacity <= 0) {
         continue;
       }
-      if (!least || ShareOf(member) < ShareOf(round.members[*least])) {
+      if (!least || Utilization(member) < Utilization(round.members[*least])) {
         least = index;
       }
     }
     return least;
   }
 
-  std::optional<std::size_t> BetterOfTwoBelowMean(const Round& round) {
+  std::optional<std::size_t> BetterOfTwoBelowMean(const PlanningRound& round) {
     std::vector<std::size_t> below;
     for (std::size_t index = 0; index < round.members.size(); ++index) {
       const MemberLoad& member = round.members[index];
-      if (member.capacity > 0 && ShareOf(member) < round.mean_share) {
+      if (member.capacity > 0 && Utilization(member) < round.mean_utilization) {
         below.push_back(index);
       }
     }
@@ -212,7 +220,8 @@
     std::uniform_int_distribution<std::size_t> any(0, below.size() - 1);
     const std::size_t first = below[any(m_random)];
     const std::size_t second = below[any(m_random)];
-    return ShareOf(round.members[second]) < ShareOf(round.members[first])
+    return Utilization(round.members[second]) <
+                   Utilization(round.members[first])
                ? second
                : first;
   }
@@ -220,11 +229,11 @@
   const Clock& m_clock;
   std::mt19937_64& m_random;
   const Parameters m_parameters;
-  double m_budget;
-  Clock::TimePoint m_budget_filled;
-  bool m_shedding = false;
-  std::size_t m_rounds_over = 0;
-  std::size_t m_isolated = 0;
+  double m_move_budget;
+  Clock::TimePoint m_budget_refilled_at;
+  bool m_rebalancing = false;
+  std::size_t m_rounds_above_threshold = 0;
+  std::size_t m_isolated_key_count = 0;
 };
 
 SlotMovePlanner::SlotMovePlanner(const Clock& clock,
@@ -234,9 +243,9 @@
 
 SlotMovePlanner::~SlotMovePlanner() = default;
 
-MovePlan SlotMovePlanner::Plan(const MemberId& self,
-                               std::span<const SlotLoad> own_slots,
-                               std::span<const MemberLoad> members) {
+RebalancingPlan SlotMovePlanner::Plan(const MemberId& self,
+                                      std::span<const SlotLoad> own_slots,
+                                      std::span<const MemberLoad> members) {
   return m_impl->Plan(self, own_slots, members);
 }
 
--- a/modules/coordination/load/slot_move_planner.h
+++ b/modules/coordination/load/slot_move_planner.h
@@ -8,7 +8,7 @@
 
 #include "modules/coordination/clock.h"
 #include "modules/coordination/load/member_load.h"
-#include "modules/coordination/load/move_plan.h"
+#include "modules/coordination/load/rebalancing_plan.h"
 #include "modules/coordination/load/slot_load.h"
 
 namespace citrongrade {
@@ -38,17 +38,17 @@
 class SlotMovePlanner {
  public:
   struct Parameters {
-    double begin_above = 1.10;
-    double stop_below = 1.04;
+    double start_threshold = 1.10;
+    double stop_threshold = 1.04;
     // Calls of Plan() in a row that find it over `begin_above`.
-    std::size_t rounds_to_begin = 2;
+    std::size_t rounds_to_start = 2;
     double moves_per_minute = 12;
     // The institute: churn 4, unavailability 1. The port: the other way round.
     double churn_weight = 1;
     double unavailability_weight = 1;
-    std::chrono::milliseconds gap_per_move{300};
-    std::chrono::seconds payback{300};
-    double isolate_above = 0.25;
+    std::chrono::milliseconds downtime_per_move{300};
+    std::chrono::seconds payback_period{300};
+    double isolation_threshold = 0.25;
     std::size_t max_isolated_keys = 8;
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
@@ -63,9 +63,9 @@
 
   // Loads as smoothed over some 10 s. `members` includes `self`. What it
   // returns counts as moved: the budget is paid.
-  MovePlan Plan(const MemberId& self,
-                std::span<const SlotLoad> own_slots,
-                std::span<const MemberLoad> members);
+  RebalancingPlan Plan(const MemberId& self,
+                       std::span<const SlotLoad> own_slots,
+                       std::span<const MemberLoad> members);
 
   // A key isolated by this planner is hot no longer and shares a slot again.
   void OnIsolationEnded();
--- a/modules/coordination/load/slot_move_planner_test.cc
+++ b/modules/coordination/load/slot_move_planner_test.cc
@@ -22,7 +22,7 @@
       : m_planner(m_clock, m_random, parameters) {}
 
   // Own slots of equal load that make up `own_load`.
-  MovePlan Plan(double own_load, std::size_t slots = 60) {
+  RebalancingPlan Plan(double own_load, std::size_t slots = 60) {
     std::vector<SlotLoad> own;
     for (std::size_t index = 0; index < slots; ++index) {
       own.push_back({SlotIndex(static_cast<std::uint32_t>(index)),
@@ -32,7 +32,7 @@
     return Plan(own);
   }
 
-  MovePlan Plan(const std::vector<SlotLoad>& own) {
+  RebalancingPlan Plan(const std::vector<SlotLoad>& own) {
     std::vector<MemberLoad> members;
     double own_load = 0;
     for (const SlotLoad& slot : own) {
@@ -69,7 +69,7 @@
 TEST_CASE("a lasting overload is moved to others, as far as the band") {
   Fixture fixture;
   fixture.Plan(9);
-  const MovePlan plan = fixture.Plan(9);
+  const RebalancingPlan plan = fixture.Plan(9);
   CHECK(plan.moves.size() >= 10);
   CHECK(plan.moves.size() <= 18);
   for (const SlotMove& move : plan.moves) {
@@ -112,7 +112,7 @@
   own[5].load = 3.5;
   own[5].hottest_key = KeyLoad{KeyHash(99), 3};
   fixture.Plan(own);
-  const MovePlan plan = fixture.Plan(own);
+  const RebalancingPlan plan = fixture.Plan(own);
   CHECK(plan.moves.empty());
   REQUIRE(plan.isolations.size() == 1);
   CHECK(plan.isolations[0].key == KeyHash(99));
--- a/modules/coordination/load/target_admission.cc
+++ b/modules/coordination/load/target_admission.cc
@@ -8,23 +8,23 @@
 namespace {
 
 // Weight of the newest run in a mean: some ten runs decide it.
-constexpr double kNewest = 0.1;
+constexpr double kSampleWeight = 0.1;
 // Kinds come from the operators' routes; beyond this many they share the mean.
-constexpr std::size_t kMaxKinds = 256;
+constexpr std::size_t kMaxTrackedRoutes = 256;
 // Work of a kind that is less than this part of the longest kind's is short.
-constexpr double kShortPart = 0.5;
+constexpr double kShortServiceTimeShare = 0.5;
 // Part of a kind's usual work for which there must be time left. One that finds
 // a free slot is tried with half of it: it takes nobody's place, and only by
 // trying does a target that was slow for a while show that it no longer is. One
 // that waits needs time for all of it: by half, a saturated target gave its
 // slots to work that its callers' deadlines ended. Worth 0.044 +- 0.020 on the
 // heaviest of five days, 0.010 +- 0.006 on all, three seeds each.
-constexpr double kTriedPart = 0.5;
-constexpr double kWaitsPart = 1.0;
+constexpr double kRequiredShareWithFreeSlot = 0.5;
+constexpr double kRequiredShareWhenQueued = 1.0;
 
-Clock::Duration Blend(Clock::Duration mean, Clock::Duration newest) {
-  return mean +
-         std::chrono::duration_cast<Clock::Duration>((newest - mean) * kNewest);
+Clock::Duration UpdateAverage(Clock::Duration mean, Clock::Duration newest) {
+  return mean + std::chrono::duration_cast<Clock::Duration>((newest - mean) *
+                                                            kSampleWeight);
 }
 
 }  // namespace
@@ -33,46 +33,50 @@
                                  const Parameters& parameters)
     : m_clock(clock),
       m_parameters(parameters),
-      m_mean_work(parameters.assumed_work) {}
+      m_mean_service_time(parameters.initial_service_time) {}
 
-Clock::Duration TargetAdmission::WorkOf(const std::string& kind) const {
-  const auto found = m_work.find(kind);
-  return found == m_work.end() ? m_mean_work : found->second;
+Clock::Duration TargetAdmission::ExpectedServiceTime(
+    const std::string& kind) const {
+  const auto found = m_service_times.find(kind);
+  return found == m_service_times.end() ? m_mean_service_time : found->second;
 }
 
 Clock::TimePoint TargetAdmission::LatestStart(const Request& request,
                                               double part) const {
-  const auto work =
-      std::chrono::duration_cast<Clock::Duration>(WorkOf(request.kind) * part);
-  return request.deadline - m_parameters.way_back - work;
+  const auto work = std::chrono::duration_cast<Clock::Duration>(
+      ExpectedServiceTime(request.route) * part);
+  return request.deadline - m_parameters.response_transit_time - work;
 }
 
 TargetAdmission::Rank TargetAdmission::RankOf(const Request& request,
                                               std::uint64_t sequence) const {
-  const bool is_long = IsLong(request.kind);
+  const bool is_long = IsLong(request.route);
   const bool is_late =
-      is_long && m_clock.Now() + WorkOf(request.kind) > request.aim;
+      is_long && m_clock.Now() + ExpectedServiceTime(request.route) >
+                     request.soft_deadline;
   return {is_late, request.priority, is_long, sequence};
 }
 
 bool TargetAdmission::IsLong(const std::string& kind) const {
-  return WorkOf(kind) >= m_longest_work * kShortPart;
+  return ExpectedServiceTime(kind) >=
+         m_longest_service_time * kShortServiceTimeShare;
 }
 
-Clock::Duration TargetAdmission::WaitBehind(std::size_t ahead) const {
-  const std::size_t slots = std::max<std::size_t>(1, m_parameters.slots);
+Clock::Duration TargetAdmission::EstimateWait(std::size_t ahead) const {
+  const std::size_t slots = std::max<std::size_t>(1, m_parameters.concurrency);
   if (m_running.size() + ahead < slots)
     return Clock::Duration(0);
   const double rounds =
       static_cast<double>(ahead + 1 + m_running.size() - slots) /
       static_cast<double>(slots);
-  return std::chrono::duration_cast<Clock::Duration>(m_mean_work * rounds);
+  return std::chrono::duration_cast<Clock::Duration>(m_mean_service_time *
+                                                     rounds);
 }
 
 TargetAdmission::Verdict TargetAdmission::Offer(const Request& request) {
   const Clock::TimePoint now = m_clock.Now();
-  if (m_running.size() < m_parameters.slots && m_waiting.empty()) {
-    if (now >= LatestStart(request, kTriedPart))
+  if (m_running.size() < m_parameters.concurrency && m_waiting.empty()) {
+    if (now >= LatestStart(request, kRequiredShareWithFreeSlot))
       return Verdict::kRefused;
     m_running.emplace(request.ticket, request);
     return Verdict::kAdmitted;
@@ -82,10 +86,11 @@
   const auto ahead = static_cast<std::size_t>(
       std::distance(m_waiting.begin(), m_waiting.lower_bound(rank)));
   if (m_waiting.size() >= m_parameters.max_waiting ||
-      now + WaitBehind(ahead) >= LatestStart(request, kWaitsPart))
+      now + EstimateWait(ahead) >=
+          LatestStart(request, kRequiredShareWhenQueued))
     return Verdict::kRefused;
   m_waiting.emplace(rank, request);
-  return Verdict::kWaits;
+  return Verdict::kQueued;
 }
 
 void TargetAdmission::OnFinished(RequestTicket ticket,
@@ -93,22 +98,22 @@
   const auto found = m_running.find(ticket);
   if (found == m_running.end())
     return;
-  const std::string kind = found->second.kind;
+  const std::string kind = found->second.route;
   m_running.erase(found);
   if (!work)
     return;
-  m_mean_work = Blend(m_mean_work, *work);
-  const auto known = m_work.find(kind);
-  if (known != m_work.end())
-    known->second = Blend(known->second, *work);
-  else if (m_work.size() < kMaxKinds)
-    m_work.emplace(kind, Blend(m_mean_work, *work));
-  m_longest_work = Clock::Duration(0);
-  for (const auto& [name, mean] : m_work)
-    m_longest_work = std::max(m_longest_work, mean);
+  m_mean_service_time = UpdateAverage(m_mean_service_time, *work);
+  const auto known = m_service_times.find(kind);
+  if (known != m_service_times.end())
+    known->second = UpdateAverage(known->second, *work);
+  else if (m_service_times.size() < kMaxTrackedRoutes)
+    m_service_times.emplace(kind, UpdateAverage(m_mean_service_time, *work));
+  m_longest_service_time = Clock::Duration(0);
+  for (const auto& [name, mean] : m_service_times)
+    m_longest_service_time = std::max(m_longest_service_time, mean);
 }
 
-void TargetAdmission::ReRank() {
+void TargetAdmission::UpdateRanks() {
   std::vector<std::pair<Rank, Request>> moved;
   for (auto it = m_waiting.begin(); it != m_waiting.end();) {
     const Rank rank = RankOf(it->second, it->first.sequence);
@@ -123,18 +128,18 @@
     m_waiting.emplace(rank, std::move(request));
 }
 
-bool TargetAdmission::HasRoomForShort() const {
+bool TargetAdmission::HasCapacityForShort() const {
   const auto running = static_cast<double>(std::count_if(
       m_running.begin(), m_running.end(),
-      [this](const auto& one) { return !IsLong(one.second.kind); }));
-  const auto slots = static_cast<double>(m_parameters.slots);
-  return running + 1 <= slots * (1 - kLongShare);
+      [this](const auto& one) { return !IsLong(one.second.route); }));
+  const auto slots = static_cast<double>(m_parameters.concurrency);
+  return running + 1 <= slots * (1 - kShareReservedForLong);
 }
 
 std::map<TargetAdmission::Rank, TargetAdmission::Request>::iterator
 TargetAdmission::FindNext() {
   const auto first = m_waiting.begin();
-  if (first->first.is_long || HasRoomForShort())
+  if (first->first.is_long || HasCapacityForShort())
     return first;
   Rank first_long = first->first;
   first_long.is_long = true;
@@ -149,12 +154,12 @@
   Changes changes;
   if (m_waiting.empty())
     return changes;
-  ReRank();
+  UpdateRanks();
   const Clock::TimePoint now = m_clock.Now();
-  while (!m_waiting.empty() && m_running.size() < m_parameters.slots) {
+  while (!m_waiting.empty() && m_running.size() < m_parameters.concurrency) {
     auto next = m_waiting.extract(FindNext());
     Request& request = next.mapped();
-    if (now >= LatestStart(request, kTriedPart)) {
+    if (now >= LatestStart(request, kRequiredShareWithFreeSlot)) {
       changes.refused.push_back(request.ticket);
       continue;
     }
@@ -163,7 +168,8 @@
   }
   std::size_t ahead = 0;
   for (auto it = m_waiting.begin(); it != m_waiting.end();) {
-    if (now + WaitBehind(ahead) < LatestStart(it->second, kWaitsPart)) {
+    if (now + EstimateWait(ahead) <
+        LatestStart(it->second, kRequiredShareWhenQueued)) {
       ++ahead;
       ++it;
       continue;
@@ -185,7 +191,7 @@
 }
 
 Clock::Duration TargetAdmission::DrainTime() const {
-  return WaitBehind(m_waiting.size());
+  return EstimateWait(m_waiting.size());
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/target_admission.h
+++ b/modules/coordination/load/target_admission.h
@@ -46,11 +46,11 @@
  public:
   struct Parameters {
     // Requests that the target runs at once.
-    std::size_t slots = 1;
+    std::size_t concurrency = 1;
     // Until a kind's work has been measured.
-    std::chrono::milliseconds assumed_work{120};
+    std::chrono::milliseconds initial_service_time{120};
     // For the answer's way back to the caller.
-    std::chrono::milliseconds way_back{20};
+    std::chrono::milliseconds response_transit_time{20};
     // Bound on memory: an answer takes seconds by then.
     std::size_t max_waiting = 512;
 
@@ -60,11 +60,11 @@
   struct Request {
     RequestTicket ticket;
     // Requests of one kind take about as long as each other: their route.
-    std::string kind;
+    std::string route;
     // 0 is the most urgent.
     std::uint32_t priority = 0;
     // Answered by then it is worth most.
-    Clock::TimePoint aim;
+    Clock::TimePoint soft_deadline;
     // Its caller waits no longer.
     Clock::TimePoint deadline;
 
@@ -72,9 +72,9 @@
   };
 
   // Part of the slots that short work leaves free while long work waits.
-  static constexpr double kLongShare = 0.25;
+  static constexpr double kShareReservedForLong = 0.25;
 
-  enum class Verdict { kAdmitted, kWaits, kRefused };
+  enum class Verdict { kAdmitted, kQueued, kRefused };
 
   struct Changes {
     std::vector<RequestTicket> admitted;
@@ -91,7 +91,7 @@
   bool Withdraw(RequestTicket ticket);
 
   // The target declared another number of slots.
-  void SetSlots(std::size_t slots) { m_parameters.slots = slots; }
+  void SetConcurrency(std::size_t slots) { m_parameters.concurrency = slots; }
   // When one that is refused now may find room: what waits has been worked off
   // by then.
   Clock::Duration DrainTime() const;
@@ -99,9 +99,9 @@
   std::size_t running() const { return m_running.size(); }
   std::size_t waiting() const { return m_waiting.size(); }
   // How long a request of the kind usually takes.
-  Clock::Duration WorkOf(const std::string& kind) const;
+  Clock::Duration ExpectedServiceTime(const std::string& kind) const;
   // Of all kinds, each request counted once.
-  Clock::Duration mean_work() const { return m_mean_work; }
+  Clock::Duration mean_service_time() const { return m_mean_service_time; }
 
  private:
   struct Rank {
@@ -117,22 +117,22 @@
   Clock::TimePoint LatestStart(const Request& request, double part) const;
   Rank RankOf(const Request& request, std::uint64_t sequence) const;
   // How long the places that run and `ahead` others take until one is free.
-  Clock::Duration WaitBehind(std::size_t ahead) const;
-  void ReRank();
+  Clock::Duration EstimateWait(std::size_t ahead) const;
+  void UpdateRanks();
   bool IsLong(const std::string& kind) const;
   // The next to be admitted; the caller must know that one waits.
   std::map<Rank, Request>::iterator FindNext();
-  bool HasRoomForShort() const;
+  bool HasCapacityForShort() const;
 
   const Clock& m_clock;
   Parameters m_parameters;
   std::map<RequestTicket, Request> m_running;
   std::map<Rank, Request> m_waiting;
   std::uint64_t m_next_sequence = 1;
-  std::map<std::string, Clock::Duration> m_work;
-  Clock::Duration m_mean_work;
+  std::map<std::string, Clock::Duration> m_service_times;
+  Clock::Duration m_mean_service_time;
   // Of the kind that takes longest.
-  Clock::Duration m_longest_work{0};
+  Clock::Duration m_longest_service_time{0};
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/load/run_outcome.h
+++ b/modules/coordination/load/target_call_outcome.h
@@ -3,7 +3,7 @@
 namespace citrongrade {
 
 // How an attempt that was given to a target ended, as its caller saw it.
-enum class RunOutcome {
+enum class TargetCallOutcome {
   kDone,
   // The target refused it without running it: shedding, draining, starting.
   kNotRun,
--- a/modules/coordination/load/target_description.h
+++ b/modules/coordination/load/target_description.h
@@ -12,7 +12,7 @@
 struct TargetDescription {
   TargetId id;
   AvailabilityZone zone;
-  std::size_t slots = 1;
+  std::size_t concurrency = 1;
 
   friend auto operator<=>(const TargetDescription&,
                           const TargetDescription&) = default;
--- a/modules/coordination/load/target_ejection.cc
+++ b/modules/coordination/load/target_ejection.cc
@@ -21,18 +21,18 @@
 using MeanLatency =
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::mean>>;
 
-constexpr double kBadShare = 0.5;
+constexpr double kMaxFailureShare = 0.5;
 
 // A window without enough samples goes on for this many windows' time.
-constexpr int kLongestWindow = 10;
+constexpr int kMaxWindowExtension = 10;
 
 // A pause is stretched by up to this share at random, so that several nodes
 // don't probe a weak target in one moment.
-constexpr double kPauseJitter = 0.25;
+constexpr double kBackoffJitter = 0.25;
 
 // At least this long without one answer, and at least twice as long as the
 // others' answers take by `latency_factor`, is called frozen.
-constexpr std::chrono::milliseconds kLeastStall(1000);
+constexpr std::chrono::milliseconds kMinStall(1000);
 
 double ToSeconds(Clock::Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -44,11 +44,11 @@
   std::size_t failures = 0;
   // Besides those in `latency`.
   std::size_t refusals = 0;
-  Clock::TimePoint began;
+  Clock::TimePoint start;
 
   std::size_t runs() const { return acc::count(latency); }
   std::size_t samples() const { return runs() + refusals; }
-  double UselessShare() const {
+  double FailureShare() const {
     return samples() == 0 ? 0
                           : static_cast<double>(failures + refusals) /
                                 static_cast<double>(samples());
@@ -61,14 +61,14 @@
   Clock::TimePoint announced_at;
   Clock::TimePoint cold_until;
   Window window;
-  std::size_t failures_in_row = 0;
+  std::size_t consecutive_failures = 0;
   std::size_t outstanding = 0;
   // Since when outstanding requests have had no answer.
-  Clock::TimePoint silent_since;
-  Clock::TimePoint paused_until;
-  std::size_t ejections_in_row = 0;
-  std::size_t good_probes = 0;
-  bool probe_under_way = false;
+  Clock::TimePoint unanswered_since;
+  Clock::TimePoint backoff_until;
+  std::size_t consecutive_ejections = 0;
+  std::size_t successful_probes = 0;
+  bool probe_in_flight = false;
 };
 
 }  // namespace
@@ -89,39 +89,39 @@
   void RemoveTarget(const TargetId& id) { m_entries.erase(id); }
 
   void MarkCold(const TargetId& id) {
-    EntryOf(id).cold_until = m_clock.Now() + m_parameters.warm_up;
+    GetEntry(id).cold_until = m_clock.Now() + m_parameters.warm_up;
   }
 
   void OnSent(const TargetId& id) {
-    Entry& entry = EntryOf(id);
+    Entry& entry = GetEntry(id);
     if (entry.outstanding == 0) {
-      entry.silent_since = m_clock.Now();
+      entry.unanswered_since = m_clock.Now();
     }
     ++entry.outstanding;
-    entry.probe_under_way = entry.state == State::kProbing;
+    entry.probe_in_flight = entry.state == State::kProbing;
   }
 
   void OnFinished(const TargetId& id,
-                  RunOutcome outcome,
+                  TargetCallOutcome outcome,
                   Clock::Duration latency) {
     const auto found = m_entries.find(id);
     if (found == m_entries.end()) {
       return;
     }
     Entry& entry = found->second;
-    CountEnd(entry, outcome);
+    RecordCompletion(entry, outcome);
     if (entry.state == State::kProbing) {
       OnProbeFinished(entry, outcome, latency);
       return;
     }
     if (entry.state == State::kServing) {
-      CountSample(entry, outcome, latency);
+      RecordSample(entry, outcome, latency);
     }
   }
 
   void Poll() {
-    EndPauses();
-    EjectWorst();
+    StartProbing();
+    EjectOutliers();
     CloseWindows();
   }
 
@@ -132,7 +132,7 @@
     }
     const State state = StateOf(found->second);
     if (state == State::kProbing) {
-      return !found->second.probe_under_way;
+      return !found->second.probe_in_flight;
     }
     return state == State::kServing;
   }
@@ -152,12 +152,12 @@
     }
     const Clock::Duration unheard = m_clock.Now() - entry.announced_at;
     if (unheard >= m_parameters.announcement_timeout) {
-      return State::kSilent;
+      return State::kExpired;
     }
     return entry.state;
   }
 
-  Entry& EntryOf(const TargetId& id) {
+  Entry& GetEntry(const TargetId& id) {
     const auto found = m_entries.find(id);
     if (found == m_entries.end()) {
       throw UnknownTargetError(id);
@@ -165,29 +165,29 @@
     return found->second;
   }
 
-  void CountEnd(Entry& entry, RunOutcome outcome) {
+  void RecordCompletion(Entry& entry, TargetCallOutcome outcome) {
     if (entry.outstanding > 0) {
       --entry.outstanding;
     }
-    if (outcome != RunOutcome::kUnknown) {
-      entry.silent_since = m_clock.Now();
+    if (outcome != TargetCallOutcome::kUnknown) {
+      entry.unanswered_since = m_clock.Now();
     }
   }
 
-  static void CountSample(Entry& entry,
-                          RunOutcome outcome,
-                          Clock::Duration latency) {
-    if (outcome == RunOutcome::kNotRun) {
+  static void RecordSample(Entry& entry,
+                           TargetCallOutcome outcome,
+                           Clock::Duration latency) {
+    if (outcome == TargetCallOutcome::kNotRun) {
       ++entry.window.refusals;
       return;
     }
     entry.window.latency(ToSeconds(latency));
-    if (outcome == RunOutcome::kDone) {
-      entry.failures_in_row = 0;
+    if (outcome == TargetCallOutcome::kDone) {
+      entry.consecutive_failures = 0;
       return;
     }
     ++entry.window.failures;
-    ++entry.failures_in_row;
+    ++entry.consecutive_failures;
   }
 
   // Ends of requests from before the ejection come in while the target probes.
@@ -195,17 +195,17 @@
   // ends the probing like a failure: with nothing running a refused probe would
   // be followed by the next at once, and all requests would go that way.
   void OnProbeFinished(Entry& entry,
-                       RunOutcome outcome,
+                       TargetCallOutcome outcome,
                        Clock::Duration latency) {
-    entry.probe_under_way = false;
+    entry.probe_in_flight = false;
     const bool is_slow = !IsCold(entry) && IsSlow(ToSeconds(latency));
-    if (outcome != RunOutcome::kDone || is_slow) {
+    if (outcome != TargetCallOutcome::kDone || is_slow) {
       Eject(entry);
       return;
     }
-    ++entry.good_probes;
-    if (entry.good_probes >= kProbesToReturn) {
-      Return(entry);
+    ++entry.successful_probes;
+    if (entry.successful_probes >= kProbesToReinstate) {
+      Reinstate(entry);
     }
   }
 
@@ -214,68 +214,69 @@
   }
 
   bool IsSlow(double seconds) const {
-    return m_median && seconds > m_parameters.latency_factor * *m_median;
+    return m_median && seconds > m_parameters.max_latency_ratio * *m_median;
   }
 
-  static void Return(Entry& entry) {
+  static void Reinstate(Entry& entry) {
     entry.state = State::kServing;
     entry.window = Window();
-    entry.failures_in_row = 0;
-    entry.ejections_in_row = 0;
+    entry.consecutive_failures = 0;
+    entry.consecutive_ejections = 0;
   }
 
   void Eject(Entry& entry) {
     entry.state = State::kEjected;
-    entry.good_probes = 0;
-    entry.probe_under_way = false;
-    entry.paused_until = m_clock.Now() + NextPause(entry.ejections_in_row);
-    ++entry.ejections_in_row;
+    entry.successful_probes = 0;
+    entry.probe_in_flight = false;
+    entry.backoff_until =
+        m_clock.Now() + NextBackoff(entry.consecutive_ejections);
+    ++entry.consecutive_ejections;
   }
 
-  Clock::Duration NextPause(std::size_t ejections_before) {
-    Clock::Duration pause = m_parameters.first_pause;
+  Clock::Duration NextBackoff(std::size_t ejections_before) {
+    Clock::Duration pause = m_parameters.initial_backoff;
     for (std::size_t i = 0; i < ejections_before; ++i) {
-      pause = std::min<Clock::Duration>(2 * pause, m_parameters.longest_pause);
+      pause = std::min<Clock::Duration>(2 * pause, m_parameters.max_backoff);
     }
-    std::uniform_real_distribution<double> stretch(1, 1 + kPauseJitter);
+    std::uniform_real_distribution<double> stretch(1, 1 + kBackoffJitter);
     return std::chrono::duration_cast<Clock::Duration>(pause *
                                                        stretch(m_random));
   }
 
-  void EndPauses() {
+  void StartProbing() {
     const Clock::TimePoint now = m_clock.Now();
     for (auto& [id, entry] : m_entries) {
-      if (entry.state == State::kEjected && now >= entry.paused_until) {
+      if (entry.state == State::kEjected && now >= entry.backoff_until) {
         entry.state = State::kProbing;
-        entry.good_probes = 0;
+        entry.successful_probes = 0;
       }
     }
   }
 
   // More than half ill at once is not the targets' fault but something behind
   // them all: taking any out would only press the load on the rest.
-  void EjectWorst() {
-    std::vector<Entry*> serving = Serving();
+  void EjectOutliers() {
+    std::vector<Entry*> serving = ServingTargets();
     UpdateMedian(serving);
     std::vector<Entry*> ill;
     std::copy_if(serving.begin(), serving.end(), std::back_inserter(ill),
-                 [this](const Entry* entry) { return IsIll(*entry); });
+                 [this](const Entry* entry) { return IsOutlier(*entry); });
     if (2 * ill.size() > serving.size()) {
       return;
     }
     std::stable_sort(ill.begin(), ill.end(),
                      [](const Entry* a, const Entry* b) {
-                       return a->failures_in_row > b->failures_in_row;
+                       return a->consecutive_failures > b->consecutive_failures;
                      });
     for (Entry* entry : ill) {
-      if (!MayEjectOneMore()) {
+      if (!CanEjectAnother()) {
         return;
       }
       Eject(*entry);
     }
   }
 
-  std::vector<Entry*> Serving() {
+  std::vector<Entry*> ServingTargets() {
     std::vector<Entry*> serving;
     for (auto& [id, entry] : m_entries) {
       if (StateOf(entry) == State::kServing) {
@@ -302,8 +303,9 @@
     m_median = *middle;
   }
 
-  bool IsIll(const Entry& entry) const {
-    if (entry.failures_in_row >= kConsecutiveFailures || IsFrozen(entry)) {
+  bool IsOutlier(const Entry& entry) const {
+    if (entry.consecutive_failures >= kConsecutiveFailures ||
+        IsStalled(entry)) {
       return true;
     }
     if (entry.window.samples() < m_parameters.min_samples) {
@@ -312,27 +314,27 @@
     const bool is_slow = !IsCold(entry) &&
                          entry.window.runs() >= m_parameters.min_samples &&
                          IsSlow(acc::mean(entry.window.latency));
-    return is_slow || entry.window.UselessShare() > kBadShare;
+    return is_slow || entry.window.FailureShare() > kMaxFailureShare;
   }
 
   // Waiting for five failures takes five deadlines' time when a target accepts
   // requests and never answers; nothing answered at all tells sooner.
-  bool IsFrozen(const Entry& entry) const {
+  bool IsStalled(const Entry& entry) const {
     if (entry.outstanding < kConsecutiveFailures) {
       return false;
     }
-    const Clock::Duration silent = m_clock.Now() - entry.silent_since;
-    return silent > kLeastStall && IsSlow(ToSeconds(silent) / 2);
+    const Clock::Duration silent = m_clock.Now() - entry.unanswered_since;
+    return silent > kMinStall && IsSlow(ToSeconds(silent) / 2);
   }
 
   // Targets that leave or are silent are gone anyway; counting them as well
   // would let ejection take a third of a mesh of which half is left.
-  bool MayEjectOneMore() const {
+  bool CanEjectAnother() const {
     std::size_t present = 0;
     std::size_t out = 0;
     for (const auto& [id, entry] : m_entries) {
       const State state = StateOf(entry);
-      if (state == State::kLeaving || state == State::kSilent) {
+      if (state == State::kLeaving || state == State::kExpired) {
         continue;
       }
       ++present;
@@ -348,12 +350,12 @@
   void CloseWindows() {
     const Clock::TimePoint now = m_clock.Now();
     for (auto& [id, entry] : m_entries) {
-      const Clock::Duration age = now - entry.window.began;
+      const Clock::Duration age = now - entry.window.start;
       const bool enough = entry.window.samples() >= m_parameters.min_samples;
-      const auto longest = kLongestWindow * m_parameters.window;
+      const auto longest = kMaxWindowExtension * m_parameters.window;
       if (age >= longest || (enough && age >= m_parameters.window)) {
         entry.window = Window();
-        entry.window.began = now;
+        entry.window.start = now;
       }
     }
   }
@@ -390,7 +392,7 @@
 }
 
 void TargetEjection::OnFinished(const TargetId& id,
-                                RunOutcome outcome,
+                                TargetCallOutcome outcome,
                                 Clock::Duration latency) {
   m_impl->OnFinished(id, outcome, latency);
 }
@@ -399,7 +401,7 @@
   m_impl->Poll();
 }
 
-bool TargetEjection::MayReceive(const TargetId& id) const {
+bool TargetEjection::IsEligible(const TargetId& id) const {
   return m_impl->MayReceive(id);
 }
 
--- a/modules/coordination/load/target_ejection.h
+++ b/modules/coordination/load/target_ejection.h
@@ -7,7 +7,7 @@
 
 #include "modules/coordination/clock.h"
 #include "modules/coordination/load/load_identifiers.h"
-#include "modules/coordination/load/run_outcome.h"
+#include "modules/coordination/load/target_call_outcome.h"
 
 namespace citrongrade {
 
@@ -38,20 +38,20 @@
   struct Parameters {
     std::chrono::milliseconds window{1000};
     std::size_t min_samples = 10;
-    double latency_factor = 3;
+    double max_latency_ratio = 3;
     double max_ejected_share = 0.34;
-    std::chrono::milliseconds first_pause{2000};
-    std::chrono::milliseconds longest_pause{30'000};
+    std::chrono::milliseconds initial_backoff{2000};
+    std::chrono::milliseconds max_backoff{30'000};
     std::chrono::milliseconds announcement_timeout{2000};
     std::chrono::milliseconds warm_up{30'000};
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
 
-  enum class State { kServing, kEjected, kProbing, kLeaving, kSilent };
+  enum class State { kServing, kEjected, kProbing, kLeaving, kExpired };
 
   static constexpr std::size_t kConsecutiveFailures = 5;
-  static constexpr std::size_t kProbesToReturn = 3;
+  static constexpr std::size_t kProbesToReinstate = 3;
 
   TargetEjection(const Clock& clock,
                  std::mt19937_64& random,
@@ -73,7 +73,7 @@
   void OnSent(const TargetId& id);
   // `latency` until the answer, or until given up. Ignores removed targets.
   void OnFinished(const TargetId& id,
-                  RunOutcome outcome,
+                  TargetCallOutcome outcome,
                   Clock::Duration latency);
 
   // Closes windows and ends pauses; call every 100 ms or so.
@@ -81,7 +81,7 @@
 
   // A probing target may get one when none is under way. False, without a
   // throw, for a target that was never announced.
-  bool MayReceive(const TargetId& id) const;
+  bool IsEligible(const TargetId& id) const;
   State StateOf(const TargetId& id) const;
 
  private:
--- a/modules/coordination/load/target_picker.cc
+++ b/modules/coordination/load/target_picker.cc
@@ -14,13 +14,13 @@
 
 // Slower answers count at once, quicker ones by and by: a queue builds up
 // quicker than it is seen to be gone.
-constexpr double kSlowerWeight = 0.5;
-constexpr double kQuickerWeight = 0.2;
+constexpr double kSlownessRiseWeight = 0.5;
+constexpr double kSlownessFallWeight = 0.2;
 // Some ten answers decide how timely a target is: single ones are spread too
 // widely to say anything.
-constexpr double kLatencyWeight = 0.1;
+constexpr double kTargetLatencyRatioWeight = 0.1;
 // A single answer says no more than that it was far too late.
-constexpr double kMostLatencyShare = 2;
+constexpr double kMaxTargetLatencyRatio = 2;
 
 struct Entry {
   TargetDescription description;
@@ -32,12 +32,12 @@
   double slowness = 1;
   Clock::TimePoint slowness_at;
   // Nothing while nobody has told.
-  std::optional<double> latency_share;
+  std::optional<double> target_latency_ratio;
   Clock::TimePoint latency_at;
 
   double Capacity() const {
-    return std::max(1.0,
-                    static_cast<double>(description.slots) * capacity_share);
+    return std::max(
+        1.0, static_cast<double>(description.concurrency) * capacity_share);
   }
 };
 
@@ -61,7 +61,7 @@
   }
 
   void SetEligible(const TargetId& id, bool eligible) {
-    Entry& entry = EntryOf(id);
+    Entry& entry = GetEntry(id);
     if (entry.eligible == eligible) {
       return;
     }
@@ -70,11 +70,11 @@
   }
 
   void SetCapacityShare(const TargetId& id, double share) {
-    EntryOf(id).capacity_share = share;
+    GetEntry(id).capacity_share = share;
   }
 
   void OnReport(const TargetId& id, std::size_t load, Clock::Duration lag) {
-    Entry& entry = EntryOf(id);
+    Entry& entry = GetEntry(id);
     entry.reported_load = static_cast<double>(load);
     entry.reported_at = m_clock.Now() - lag;
   }
@@ -86,9 +86,10 @@
     }
     Entry& entry = found->second;
     const double now = Slowness(entry);
-    const double seen = std::clamp(slowness, TargetPicker::kLeastSlowness,
-                                   TargetPicker::kMostSlowness);
-    const double weight = seen > now ? kSlowerWeight : kQuickerWeight;
+    const double seen = std::clamp(slowness, TargetPicker::kMinSlowness,
+                                   TargetPicker::kMaxSlowness);
+    const double weight =
+        seen > now ? kSlownessRiseWeight : kSlownessFallWeight;
     entry.slowness = now + weight * (seen - now);
     entry.slowness_at = m_clock.Now();
   }
@@ -99,14 +100,16 @@
       return;
     }
     Entry& entry = found->second;
-    const double seen = std::min(share, kMostLatencyShare);
-    const double now = LatencyShare(entry);
-    entry.latency_share =
-        entry.latency_share ? now + kLatencyWeight * (seen - now) : seen;
+    const double seen = std::min(share, kMaxTargetLatencyRatio);
+    const double now = TargetLatencyRatio(entry);
+    entry.target_latency_ratio =
+        entry.target_latency_ratio
+            ? now + kTargetLatencyRatioWeight * (seen - now)
+            : seen;
     entry.latency_at = m_clock.Now();
   }
 
-  void OnSent(const TargetId& id) { ++EntryOf(id).outstanding; }
+  void OnSent(const TargetId& id) { ++GetEntry(id).outstanding; }
 
   void OnFinished(const TargetId& id) {
     const auto found = m_entries.find(id);
@@ -116,11 +119,11 @@
   }
 
   std::optional<TargetId> Pick(const std::optional<TargetId>& excluded) {
-    const Entry* nearby = BetterOfTwo(m_own_pool, excluded);
-    if (nearby != nullptr && HasRoom(*nearby)) {
+    const Entry* nearby = BetterOfTwo(m_eligible_local, excluded);
+    if (nearby != nullptr && HasCapacity(*nearby)) {
       return nearby->description.id;
     }
-    const Entry* best = Better(nearby, BetterOfTwo(m_pool, excluded));
+    const Entry* best = Better(nearby, BetterOfTwo(m_eligible, excluded));
     if (best == nullptr) {
       return std::nullopt;
     }
@@ -128,7 +131,7 @@
   }
 
  private:
-  Entry& EntryOf(const TargetId& id) {
+  Entry& GetEntry(const TargetId& id) {
     const auto found = m_entries.find(id);
     if (found == m_entries.end()) {
       throw UnknownTargetError(id);
@@ -139,17 +142,19 @@
   // In the order of ids, so that a run with the same seed repeats whatever
   // order the hash table has.
   void RebuildPools() {
-    m_pool.clear();
-    m_own_pool.clear();
+    m_eligible.clear();
+    m_eligible_local.clear();
     for (auto& [id, entry] : m_entries) {
       if (entry.eligible) {
-        m_pool.push_back(&entry);
+        m_eligible.push_back(&entry);
       }
     }
-    std::sort(m_pool.begin(), m_pool.end(), [](const Entry* a, const Entry* b) {
-      return a->description.id < b->description.id;
-    });
-    std::copy_if(m_pool.begin(), m_pool.end(), std::back_inserter(m_own_pool),
+    std::sort(m_eligible.begin(), m_eligible.end(),
+              [](const Entry* a, const Entry* b) {
+                return a->description.id < b->description.id;
+              });
+    std::copy_if(m_eligible.begin(), m_eligible.end(),
+                 std::back_inserter(m_eligible_local),
                  [this](const Entry* entry) {
                    return entry->description.zone == m_own_zone;
                  });
@@ -157,17 +162,17 @@
 
   const Entry* BetterOfTwo(const Pool& pool,
                            const std::optional<TargetId>& excluded) {
-    const Entry* first = RandomOf(pool, excluded, nullptr);
+    const Entry* first = PickRandom(pool, excluded, nullptr);
     if (first == nullptr) {
       return nullptr;
     }
-    return Better(first, RandomOf(pool, excluded, first));
+    return Better(first, PickRandom(pool, excluded, first));
   }
 
   // A random start, then the first that may be taken: at most two are skipped.
-  const Entry* RandomOf(const Pool& pool,
-                        const std::optional<TargetId>& excluded,
-                        const Entry* other_than) {
+  const Entry* PickRandom(const Pool& pool,
+                          const std::optional<TargetId>& excluded,
+                          const Entry* other_than) {
     if (pool.empty()) {
       return nullptr;
     }
@@ -194,23 +199,23 @@
     return Score(*second) < Score(*first) ? second : first;
   }
 
-  double OwnShare(const Entry& entry) const {
+  double OwnUtilization(const Entry& entry) const {
     return static_cast<double>(entry.outstanding + 1) / entry.Capacity();
   }
 
-  double ReportedShare(const Entry& entry) const {
+  double ReportedUtilization(const Entry& entry) const {
     const std::chrono::duration<double> age = m_clock.Now() - entry.reported_at;
     const double kept = std::exp2(-age / kReportHalfLife);
     return kept * entry.reported_load / entry.Capacity();
   }
 
   double Score(const Entry& entry) const {
-    const double reported = std::min(1.0, ReportedShare(entry));
+    const double reported = std::min(1.0, ReportedUtilization(entry));
     // Refusals are quick: by slowness alone one that refuses would be as good.
     const double lateness =
-        std::max(1.0, LatencyShare(entry) / TargetPicker::kNoneStaysAbove);
-    return (OwnShare(entry) + kReportedCap * reported) * Slowness(entry) *
-           lateness;
+        std::max(1.0, TargetLatencyRatio(entry) / TargetPicker::kSpilloverFull);
+    return (OwnUtilization(entry) + kReportedLoadWeight * reported) *
+           Slowness(entry) * lateness;
   }
 
   double Slowness(const Entry& entry) const {
@@ -219,28 +224,29 @@
                    (entry.slowness - 1);
   }
 
-  double LatencyShare(const Entry& entry) const {
+  double TargetLatencyRatio(const Entry& entry) const {
     const std::chrono::duration<double> age = m_clock.Now() - entry.latency_at;
-    return entry.latency_share.value_or(0) *
+    return entry.target_latency_ratio.value_or(0) *
            std::exp2(-age / TargetPicker::kSlownessHalfLife);
   }
 
-  bool IsTimely(const Entry& entry) {
-    std::uniform_real_distribution<> any(TargetPicker::kAllStayBelow,
-                                         TargetPicker::kNoneStaysAbove);
-    return LatencyShare(entry) < any(m_random);
+  bool DrawStaysLocal(const Entry& entry) {
+    std::uniform_real_distribution<> any(TargetPicker::kSpilloverStart,
+                                         TargetPicker::kSpilloverFull);
+    return TargetLatencyRatio(entry) < any(m_random);
   }
 
   // Other nodes' work counts here in full, as far as reports show it: each of
   // many nodes has little outstanding at a target that is full. A report can
   // only send work away from here; one that is too low sends none here that
   // two random choices would not.
-  bool HasRoom(const Entry& entry) {
-    const double use = std::max(OwnShare(entry), ReportedShare(entry));
-    if (entry.latency_share) {
-      return use < kRoomBelow && IsTimely(entry);
+  bool HasCapacity(const Entry& entry) {
+    const double use =
+        std::max(OwnUtilization(entry), ReportedUtilization(entry));
+    if (entry.target_latency_ratio) {
+      return use < kMaxLocalUtilization && DrawStaysLocal(entry);
     }
-    return use * Slowness(entry) < kRoomBelow;
+    return use * Slowness(entry) < kMaxLocalUtilization;
   }
 
   const Clock& m_clock;
@@ -248,8 +254,8 @@
   const AvailabilityZone m_own_zone;
   std::unordered_map<TargetId, Entry> m_entries;
   // Point into m_entries, whose nodes stay where they are.
-  Pool m_pool;
-  Pool m_own_pool;
+  Pool m_eligible;
+  Pool m_eligible_local;
 };
 
 TargetPicker::TargetPicker(const Clock& clock,
@@ -285,7 +291,7 @@
   m_impl->OnSlowness(id, slowness);
 }
 
-void TargetPicker::OnLatencyShare(const TargetId& id, double share) {
+void TargetPicker::OnTargetLatencyRatio(const TargetId& id, double share) {
   m_impl->OnLatencyShare(id, share);
 }
 
--- a/modules/coordination/load/target_picker.h
+++ b/modules/coordination/load/target_picker.h
@@ -44,8 +44,8 @@
 // Kin: TargetEjection says who may be picked.
 class TargetPicker {
  public:
-  static constexpr double kReportedCap = 0.25;
-  static constexpr double kRoomBelow = 0.5;
+  static constexpr double kReportedLoadWeight = 0.25;
+  static constexpr double kMaxLocalUtilization = 0.5;
   static constexpr std::chrono::milliseconds kReportHalfLife{1000};
   // A target that was slow is tried again as what it did fades.
   static constexpr std::chrono::milliseconds kSlownessHalfLife{2000};
@@ -53,11 +53,11 @@
   // where all work stays, and this part where none does; in between ever less
   // stays. With 0.6 and 0.9 bytes between zones were as few, and on a day with
   // few targets left 0.028 of the worth was lost by work sent away too soon.
-  static constexpr double kAllStayBelow = 0.8;
-  static constexpr double kNoneStaysAbove = 1.3;
+  static constexpr double kSpilloverStart = 0.8;
+  static constexpr double kSpilloverFull = 1.3;
   // Bounds of one answer's slowness: a single one must not decide for long.
-  static constexpr double kLeastSlowness = 0.5;
-  static constexpr double kMostSlowness = 10;
+  static constexpr double kMinSlowness = 0.5;
+  static constexpr double kMaxSlowness = 10;
 
   TargetPicker(const Clock& clock,
                std::mt19937_64& random,
@@ -87,7 +87,7 @@
 
   // How long an answer took, as part of its kind's target latency; above 1 for
   // one that was refused for want of room. Ignores a target that was removed.
-  void OnLatencyShare(const TargetId& id, double share);
+  void OnTargetLatencyRatio(const TargetId& id, double share);
 
   void OnSent(const TargetId& id);
   // Ignores a target that was removed meanwhile.
--- a/modules/coordination/load/target_picker_test.cc
+++ b/modules/coordination/load/target_picker_test.cc
@@ -117,7 +117,8 @@
       const bool is_own = picked == Target(0);
       own += is_own ? 1 : 0;
       fixture.picker().OnSlowness(picked, is_own ? 3 : 0.7);
-      fixture.picker().OnLatencyShare(picked, is_own ? latency_share : 0.2);
+      fixture.picker().OnTargetLatencyRatio(picked,
+                                            is_own ? latency_share : 0.2);
     }
     return own;
   };
@@ -129,7 +130,7 @@
 TEST_CASE("a target of the own zone that refuses is left for a while") {
   Fixture fixture;
   for (int i = 0; i < 30; ++i)
-    fixture.picker().OnLatencyShare(Target(0), 1.5);
+    fixture.picker().OnTargetLatencyRatio(Target(0), 1.5);
   CHECK(fixture.Send(1)[0] == 0);
   fixture.clock().Advance(4 * TargetPicker::kSlownessHalfLife);
   CHECK(fixture.Send(1)[0] == 1);
--- a/modules/coordination/load/transit_delay.h
+++ b/modules/coordination/load/transit_delay_estimator.h
@@ -25,13 +25,13 @@
 // How to use it: OnArrived() for each request that bears its sender and the
 // sender's time; take the result off the time that is left. Thread-confined.
 // Kin: TargetAdmission, which goes by that time.
-class TransitDelay {
+class TransitDelayEstimator {
  public:
   // Clocks drift apart by a millisecond in it at most, and a path that has
   // become longer for good counts as a delay for two of them at most.
   static constexpr std::chrono::seconds kWindow{5};
 
-  explicit TransitDelay(const Clock& clock);
+  explicit TransitDelayEstimator(const Clock& clock);
 
   // `sender`: drawn by its process at its start, as its clock may have begun
   // anew with its host. `sent`: by its clock.
@@ -43,14 +43,14 @@
 
  private:
   struct Sender {
-    Clock::TimePoint window_began;
+    Clock::TimePoint window_start;
     // Least difference of arrival and sending in this window and the last.
-    std::array<std::chrono::nanoseconds, 2> least;
+    std::array<std::chrono::nanoseconds, 2> min_difference;
   };
 
-  void ForgetSilent(Clock::TimePoint now);
+  void RemoveIdleSenders(Clock::TimePoint now);
 
-  Clock::TimePoint m_swept;
+  Clock::TimePoint m_last_cleanup;
   std::map<std::uint64_t, Sender> m_senders;
 };
 
--- a/modules/coordination/load/transit_delay_test.cc
+++ b/modules/coordination/load/transit_delay_estimator_test.cc
@@ -1,4 +1,4 @@
-#include "modules/coordination/load/transit_delay.h"
+#include "modules/coordination/load/transit_delay_estimator.h"
 
 #include <doctest/doctest.h>
 
@@ -26,7 +26,7 @@
   }
 
   ManualClock clock;
-  TransitDelay delay{clock};
+  TransitDelayEstimator delay{clock};
 };
 
 }  // namespace
@@ -50,7 +50,7 @@
   Arrive(milliseconds(1));
   CHECK(Arrive(milliseconds(300)) == milliseconds(299));
   for (int i = 0; i < 3; ++i) {
-    clock.Advance(TransitDelay::kWindow);
+    clock.Advance(TransitDelayEstimator::kWindow);
     Arrive(milliseconds(300));
   }
   CHECK(Arrive(milliseconds(300)) == milliseconds(0));
@@ -60,7 +60,7 @@
   for (std::uint64_t sender = 0; sender < 100; ++sender)
     Arrive(milliseconds(1), sender);
   CHECK(delay.sender_count() == 100);
-  clock.Advance(3 * TransitDelay::kWindow);
+  clock.Advance(3 * TransitDelayEstimator::kWindow);
   Arrive(milliseconds(1), 200);
   CHECK(delay.sender_count() == 1);
 }
--- /dev/null
+++ b/modules/coordination/mesh/config_distributor.cc
@@ -0,0 +1,162 @@
+#include "modules/coordination/mesh/config_distributor.h"
+
+#include <algorithm>
+
+namespace citrongrade {
+
+namespace {
+
+using std::chrono::milliseconds;
+
+// Transfers from one source at the same time: a weak host's link keeps room for
+// requests, a strong one's carries more.
+constexpr unsigned kBaseTransfers = 2;
+constexpr unsigned kExtraTransfersForFitHosts = 6;
+// A transfer that has not ended by then is given up, at both ends.
+constexpr milliseconds kTransferTimeout{1000};
+// By then a node that was named a source says that it fetches.
+constexpr milliseconds kFetchStartTimeout{300};
+// For so long a source of the node's own zone is waited for.
+constexpr milliseconds kZoneWait{300};
+// A source that failed a node is not named to it again for so long.
+constexpr milliseconds kFailedSourceBackoff{400};
+// One that was silent for longer is not named as a source.
+constexpr milliseconds kMaxHeartbeatAge{800};
+
+}  // namespace
+
+ConfigDistributor::ConfigDistributor(const Clock& clock) : m_clock(clock) {}
+
+void ConfigDistributor::OnHeartbeat(const Heartbeat& heartbeat) {
+  Node& node = m_nodes[heartbeat.address];
+  if (heartbeat.incarnation == node.incarnation &&
+      heartbeat.sequence < node.sequence)
+    return;
+  if (heartbeat.config_version > m_newest)
+    OnNewVersion(heartbeat.config_version);
+  if (node.version != heartbeat.config_version) {
+    EndTransfer(heartbeat.address, node);
+    node.failed_source.clear();
+    node.behind_since = m_clock.Now();
+    m_sources_by_zone[node.zone].erase(heartbeat.address);
+  }
+  UpdateNode(heartbeat, node);
+  if (node.version == m_newest) {
+    m_sources_by_zone[node.zone].insert(heartbeat.address);
+    return;
+  }
+  const bool is_idle = !heartbeat.is_fetching_config &&
+                       m_clock.Now() - node.assigned_at > kFetchStartTimeout;
+  if (heartbeat.config_fetch_failed)
+    FailTransfer(heartbeat.address, node);
+  else if (is_idle)
+    EndTransfer(heartbeat.address, node);
+}
+
+void ConfigDistributor::UpdateNode(const Heartbeat& heartbeat, Node& node) {
+  node.incarnation = heartbeat.incarnation;
+  node.sequence = heartbeat.sequence;
+  node.version = heartbeat.config_version;
+  node.last_heartbeat = m_clock.Now();
+  node.zone = heartbeat.zone;
+  node.max_transfers = kBaseTransfers + kExtraTransfersForFitHosts *
+                                            heartbeat.leader_fitness_milli /
+                                            Heartbeat::kMaxLeaderFitnessMilli;
+}
+
+void ConfigDistributor::OnNewVersion(std::uint64_t version) {
+  m_newest = version;
+  m_sources_by_zone.clear();
+  // What is under way brings an earlier version, and still takes its source's
+  // link.
+  for (auto& [address, node] : m_nodes)
+    node.behind_since = m_clock.Now();
+}
+
+void ConfigDistributor::EndTransfer(const std::string& address, Node& node) {
+  const auto source = m_nodes.find(node.source);
+  node.source.clear();
+  if (source != m_nodes.end())
+    source->second.outgoing_transfers.erase(address);
+}
+
+void ConfigDistributor::FailTransfer(const std::string& address, Node& node) {
+  if (node.source.empty())
+    return;
+  node.failed_source = node.source;
+  node.failed_at = m_clock.Now();
+  EndTransfer(address, node);
+}
+
+bool ConfigDistributor::HasRecentHeartbeat(const Node& node) const {
+  return m_clock.Now() - node.last_heartbeat < kMaxHeartbeatAge;
+}
+
+bool ConfigDistributor::HasCapacity(Node& source) const {
+  const Clock::TimePoint now = m_clock.Now();
+  std::erase_if(source.outgoing_transfers,
+                [now](const auto& entry) { return now >= entry.second; });
+  return source.outgoing_transfers.size() < source.max_transfers;
+}
+
+bool ConfigDistributor::IsUsableSource(const std::string& source,
+                                       const Node& node) const {
+  return HasRecentHeartbeat(m_nodes.at(source)) &&
+         (source != node.failed_source ||
+          m_clock.Now() - node.failed_at > kFailedSourceBackoff);
+}
+
+bool ConfigDistributor::ShouldWaitForZone(const Node& node) const {
+  const auto holders = m_sources_by_zone.find(node.zone);
+  if (holders == m_sources_by_zone.end() ||
+      m_clock.Now() - node.behind_since > kZoneWait)
+    return false;
+  return std::any_of(holders->second.begin(), holders->second.end(),
+                     [&](const std::string& address) {
+                       return IsUsableSource(address, node);
+                     });
+}
+
+std::string ConfigDistributor::FindSourceInZone(const std::string& zone,
+                                                const Node& node) {
+  const auto holders = m_sources_by_zone.find(zone);
+  if (holders == m_sources_by_zone.end())
+    return {};
+  for (const std::string& address : holders->second) {
+    if (IsUsableSource(address, node) && HasCapacity(m_nodes.at(address)))
+      return address;
+  }
+  return {};
+}
+
+std::string ConfigDistributor::FindSource(const Node& node) {
+  std::string source = FindSourceInZone(node.zone, node);
+  if (!source.empty() || ShouldWaitForZone(node))
+    return source;
+  for (const auto& [zone, holders] : m_sources_by_zone) {
+    source = FindSourceInZone(zone, node);
+    if (!source.empty())
+      return source;
+  }
+  return {};
+}
+
+std::string ConfigDistributor::AssignSource(const std::string& address) {
+  const auto found = m_nodes.find(address);
+  if (found == m_nodes.end() || found->second.version == m_newest)
+    return {};
+  Node& node = found->second;
+  const Clock::TimePoint now = m_clock.Now();
+  if (!node.source.empty() && now - node.assigned_at < kTransferTimeout)
+    return {};
+  FailTransfer(address, node);
+  std::string source = FindSource(node);
+  if (source.empty())
+    return {};
+  m_nodes.at(source).outgoing_transfers[address] = now + kTransferTimeout;
+  node.source = source;
+  node.assigned_at = now;
+  return source;
+}
+
+}  // namespace citrongrade
--- a/modules/coordination/mesh/config_spread.h
+++ b/modules/coordination/mesh/config_distributor.h
@@ -21,9 +21,9 @@
 // more, a node, a source or a transfer, is given up after a time.
 //
 // Thread-confined, no input or output. Kin: ConfigTransfer, which fetches.
-class ConfigSpread {
+class ConfigDistributor {
  public:
-  explicit ConfigSpread(const Clock& clock);
+  explicit ConfigDistributor(const Clock& clock);
 
   // One that was overtaken by a later one of the same process is dropped.
   void OnHeartbeat(const Heartbeat& heartbeat);
@@ -41,37 +41,37 @@
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     std::uint64_t version = 0;
-    Clock::TimePoint heard;
+    Clock::TimePoint last_heartbeat;
     // Since when it has had this version, or the newest has been another.
     Clock::TimePoint behind_since;
-    unsigned most_serving = 0;
+    unsigned max_transfers = 0;
     // Who fetches from it, and when that is given up at the latest.
-    std::map<std::string, Clock::TimePoint> serving;
+    std::map<std::string, Clock::TimePoint> outgoing_transfers;
     // From whom it fetches; empty: from nobody.
     std::string source;
-    Clock::TimePoint assigned;
+    Clock::TimePoint assigned_at;
     // Whose transfer to it failed last, and when.
     std::string failed_source;
-    Clock::TimePoint failed;
+    Clock::TimePoint failed_at;
   };
 
-  void BeginVersion(std::uint64_t version);
-  void TakeState(const Heartbeat& heartbeat, Node& node);
+  void OnNewVersion(std::uint64_t version);
+  void UpdateNode(const Heartbeat& heartbeat, Node& node);
   void EndTransfer(const std::string& address, Node& node);
   void FailTransfer(const std::string& address, Node& node);
-  bool IsFresh(const Node& node) const;
-  bool HasRoom(Node& source) const;
-  bool MayUse(const std::string& source, const Node& node) const;
-  bool WaitsForZone(const Node& node) const;
+  bool HasRecentHeartbeat(const Node& node) const;
+  bool HasCapacity(Node& source) const;
+  bool IsUsableSource(const std::string& source, const Node& node) const;
+  bool ShouldWaitForZone(const Node& node) const;
   // Empty when nobody there has room.
-  std::string FindIn(const std::string& zone, const Node& node);
+  std::string FindSourceInZone(const std::string& zone, const Node& node);
   std::string FindSource(const Node& node);
 
   const Clock& m_clock;
   std::uint64_t m_newest = 0;
   std::map<std::string, Node> m_nodes;
   // Who has the newest version, by availability zone.
-  std::map<std::string, std::set<std::string>> m_holders;
+  std::map<std::string, std::set<std::string>> m_sources_by_zone;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/config_spread_test.cc
+++ b/modules/coordination/mesh/config_distributor_test.cc
@@ -1,4 +1,4 @@
-#include "modules/coordination/mesh/config_spread.h"
+#include "modules/coordination/mesh/config_distributor.h"
 
 #include <doctest/doctest.h>
 
@@ -23,9 +23,11 @@
 constexpr std::uint32_t kFit = 1000;
 
 // A mesh of hosts with narrow links; node 0 leads and has the new version.
-class SpreadMesh {
+class DistributionSimulation {
  public:
-  SpreadMesh(std::size_t nodes, std::size_t zones, std::uint32_t leader_merit)
+  DistributionSimulation(std::size_t nodes,
+                         std::size_t zones,
+                         std::uint32_t leader_merit)
       : m_zones(zones), m_leader_merit(leader_merit), m_versions(nodes, kOld) {
     m_versions[0] = kNew;
   }
@@ -65,7 +67,7 @@
     heartbeat.config_fetch_failed = has_failed;
     heartbeat.sequence = ++m_sequence;
     heartbeat.is_fetching_config = m_fetching.contains(node);
-    heartbeat.leader_merit_milli = node == 0 ? m_leader_merit : kWeak;
+    heartbeat.leader_fitness_milli = node == 0 ? m_leader_merit : kWeak;
     m_spread.OnHeartbeat(heartbeat);
   }
 
@@ -115,7 +117,7 @@
     return true;
   }
 
-  ConfigSpread& spread() { return m_spread; }
+  ConfigDistributor& spread() { return m_spread; }
   ManualClock& clock() { return m_clock; }
 
  private:
@@ -134,7 +136,7 @@
   std::set<std::size_t> m_fetching;
   std::uint64_t m_sequence = 0;
   ManualClock m_clock;
-  ConfigSpread m_spread{m_clock};
+  ConfigDistributor m_spread{m_clock};
 };
 
 }  // namespace
@@ -143,7 +145,7 @@
 TEST_CASE("all have the newest version after a few rounds of transfers") {
   for (const auto& [nodes, most_rounds] : std::map<std::size_t, std::size_t>{
            {3, 2}, {83, 6}, {195, 7}, {600, 8}}) {
-    SpreadMesh mesh(nodes, 3, kWeak);
+    DistributionSimulation mesh(nodes, 3, kWeak);
     mesh.BeatAll();
     CHECK(mesh.PlayUntilAllHaveIt(most_rounds) <= most_rounds);
     CHECK(mesh.AllHaveIt());
@@ -153,7 +155,7 @@
 // Guards against a leader whose link is full of configuration for seconds.
 TEST_CASE("no node sends to many at the same time") {
   constexpr std::size_t kMost = 8;
-  SpreadMesh mesh(600, 6, kFit);
+  DistributionSimulation mesh(600, 6, kFit);
   mesh.BeatAll();
   while (!mesh.AllHaveIt()) {
     for (const auto& [source, transfers] : mesh.PlayRound())
@@ -163,7 +165,7 @@
 
 // Guards against a mesh that waits for ever for a source that is gone.
 TEST_CASE("lost sources are passed over") {
-  SpreadMesh mesh(83, 3, kWeak);
+  DistributionSimulation mesh(83, 3, kWeak);
   mesh.BeatAll();
   mesh.PlayRound();
   mesh.PlayRound();
@@ -177,7 +179,7 @@
 // Guards against a node that is named no source any more, because the answer
 // that named one was lost.
 TEST_CASE("a source that a node has not heard of is named again") {
-  SpreadMesh mesh(2, 1, kWeak);
+  DistributionSimulation mesh(2, 1, kWeak);
   mesh.BeatAll();
   CHECK(mesh.Assign(1) == mesh.AddressOf(0));
   CHECK(mesh.Assign(1).empty());
@@ -187,7 +189,7 @@
 
 // Guards against a transfer that never ends: its node waits for ever.
 TEST_CASE("a transfer that takes too long is given up") {
-  SpreadMesh mesh(2, 1, kWeak);
+  DistributionSimulation mesh(2, 1, kWeak);
   mesh.BeatAll();
   CHECK(mesh.Assign(1) == mesh.AddressOf(0));
   mesh.SetFetching(1);
@@ -201,7 +203,7 @@
 
 // Guards against the only source there is, named no more after one failure.
 TEST_CASE("a source that failed once is tried again") {
-  SpreadMesh mesh(2, 1, kWeak);
+  DistributionSimulation mesh(2, 1, kWeak);
   mesh.BeatAll();
   CHECK(mesh.Assign(1) == mesh.AddressOf(0));
   mesh.Beat(1, true);
@@ -212,7 +214,7 @@
 
 // Guards against a source that is busy for ever with nodes that are gone.
 TEST_CASE("a source is free again when those who fetched from it are lost") {
-  SpreadMesh mesh(4, 1, kWeak);
+  DistributionSimulation mesh(4, 1, kWeak);
   mesh.BeatAll();
   CHECK(mesh.Assign(1) == mesh.AddressOf(0));
   CHECK(mesh.Assign(2) == mesh.AddressOf(0));
@@ -226,7 +228,7 @@
 // Guards against sources that are held busy by transfers of the version before.
 TEST_CASE("a node that got the version before is named a source at once") {
   constexpr std::uint64_t kNewer = 15;
-  SpreadMesh mesh(2, 1, kWeak);
+  DistributionSimulation mesh(2, 1, kWeak);
   mesh.BeatAll();
   CHECK(mesh.Assign(1) == mesh.AddressOf(0));
   mesh.SetVersion(0, kNewer);
@@ -239,7 +241,7 @@
 // Guards against a late heartbeat by which a node seems to be behind again.
 TEST_CASE("a heartbeat that was overtaken changes nothing") {
   const ManualClock clock;
-  ConfigSpread spread(clock);
+  ConfigDistributor spread(clock);
   Heartbeat late;
   late.address = "10.0.0.1:7240";
   late.sequence = 1;
@@ -257,7 +259,7 @@
 
 // Guards against a source that was restarted and has nothing to give.
 TEST_CASE("a node that started anew is no source until it has the version") {
-  SpreadMesh mesh(2, 1, kWeak);
+  DistributionSimulation mesh(2, 1, kWeak);
   mesh.Restart(0);
   mesh.BeatAll();
   CHECK(mesh.spread().newest() == kOld);
@@ -270,7 +272,7 @@
 
 // Guards against bytes between availability zones, which cost callers' room.
 TEST_CASE("a node fetches within its availability zone where it can") {
-  SpreadMesh mesh(9, 3, kFit);
+  DistributionSimulation mesh(9, 3, kFit);
   mesh.BeatAll();
   mesh.PlayUntilAllHaveIt(1);
   // One of each zone has it, at the least.
--- a/modules/coordination/mesh/campaign_turn.h
+++ b/modules/coordination/mesh/election_delay.h
@@ -22,26 +22,27 @@
 //
 // A node without a view, after the loss of all processes, has no turn: it waits
 // by its own fitness, and by its place among the voters.
-class CampaignTurn {
+class ElectionDelay {
  public:
   // `lost`: mesh address of the leader that is to be replaced, `epoch` its own.
-  CampaignTurn(const MeshView& view,
-               const std::string& lost,
-               std::uint64_t epoch);
+  ElectionDelay(const MeshView& view,
+                const std::string& lost,
+                std::uint64_t epoch);
 
   // Whose turn is first among equals: another with each epoch.
-  static std::size_t OrderOf(const std::string& address, std::uint64_t epoch);
+  static std::size_t TieBreakHash(const std::string& address,
+                                  std::uint64_t epoch);
 
   // What `self` waits; `random` spreads those who have no turn of their own.
-  std::chrono::milliseconds DelayOf(const std::string& self,
-                                    std::uint64_t random) const;
+  std::chrono::milliseconds DelayFor(const std::string& self,
+                                     std::uint64_t random) const;
 
  private:
   // Present members that go before `self`.
-  std::size_t PlaceOf(const std::string& self) const;
+  std::size_t RankOf(const std::string& self) const;
 
   const MeshView& m_view;
-  const std::string m_lost;
+  const std::string m_lost_leader;
   const std::uint64_t m_epoch;
 };
 
--- a/modules/coordination/mesh/campaign_turn_test.cc
+++ b/modules/coordination/mesh/election_delay_test.cc
@@ -1,4 +1,4 @@
-#include "modules/coordination/mesh/campaign_turn.h"
+#include "modules/coordination/mesh/election_delay.h"
 
 #include <doctest/doctest.h>
 
@@ -30,7 +30,7 @@
 MeshMember Member(std::size_t node, std::uint32_t merit) {
   MeshMember member;
   member.address = AddressOf(node);
-  member.leader_merit_milli = merit;
+  member.leader_fitness_milli = merit;
   member.state = MeshMember::State::kServing;
   return member;
 }
@@ -48,16 +48,16 @@
 
 TEST_CASE("the fittest go first, one after the other") {
   const MeshView view = LargeMesh();
-  const CampaignTurn turn(view, AddressOf(0), kEpoch);
+  const ElectionDelay turn(view, AddressOf(0), kEpoch);
   std::map<milliseconds, std::size_t> delays;
   for (std::size_t node = 1; node < kNodes; ++node)
-    ++delays[turn.DelayOf(AddressOf(node), 7)];
+    ++delays[turn.DelayFor(AddressOf(node), 7)];
   CHECK(delays.begin()->first == milliseconds(0));
   CHECK(delays.begin()->second == 1);
   CHECK(std::next(delays.begin())->second == 1);
   for (std::size_t node = 1; node < kNodes; ++node) {
     if (node % 15 != 0)
-      CHECK(turn.DelayOf(AddressOf(node), 7) > milliseconds(0));
+      CHECK(turn.DelayFor(AddressOf(node), 7) > milliseconds(0));
   }
 }
 
@@ -69,14 +69,14 @@
   absent.state = MeshMember::State::kAbsent;
   view.SetMember(absent);
   view.SetMember(Member(3, 100));
-  const CampaignTurn turn(view, AddressOf(1), kEpoch);
-  CHECK(turn.DelayOf(AddressOf(3), 0) == milliseconds(0));
+  const ElectionDelay turn(view, AddressOf(1), kEpoch);
+  CHECK(turn.DelayFor(AddressOf(3), 0) == milliseconds(0));
 }
 
 TEST_CASE("a node that the view does not name waits for those with a turn") {
   const MeshView view = LargeMesh();
-  const CampaignTurn turn(view, AddressOf(0), kEpoch);
-  CHECK(turn.DelayOf("10.9.9.9:7240", 0) >= milliseconds(600));
+  const ElectionDelay turn(view, AddressOf(0), kEpoch);
+  CHECK(turn.DelayFor("10.9.9.9:7240", 0) >= milliseconds(600));
 }
 
 // Callers are refused for as long as no leader is found. All nodes miss it
@@ -86,13 +86,13 @@
   constexpr int kElections = 200;
   std::mt19937_64 random(3);
   const MeshView view = LargeMesh();
-  const CampaignTurn turn(view, AddressOf(0), kEpoch);
+  const ElectionDelay turn(view, AddressOf(0), kEpoch);
   int decided = 0;
   for (int election = 0; election < kElections; ++election) {
     std::vector<std::pair<milliseconds, std::size_t>> starts;
     for (std::size_t node = 1; node < kNodes; ++node) {
       const milliseconds missed(random() % 60);
-      starts.emplace_back(missed + turn.DelayOf(AddressOf(node), random()),
+      starts.emplace_back(missed + turn.DelayFor(AddressOf(node), random()),
                           node);
     }
     std::map<std::size_t, std::size_t> votes;
--- a/modules/coordination/mesh/heartbeat_reply.h
+++ b/modules/coordination/mesh/heartbeat_reply.h
@@ -25,10 +25,10 @@
   std::uint32_t lease_ms = 0;
   // Any lease that may be in force, of this node's earlier processes as well,
   // lasts at most so long.
-  std::uint32_t longest_lease_ms = 0;
+  std::uint32_t max_lease_ms = 0;
   // The node is to follow the operators' configuration in the store as well,
   // in case the leader can't.
-  bool follow_store = false;
+  bool reads_store = false;
   ViewDelta view;
   std::vector<std::uint64_t> crash_suspects;
   // The newest that any node has.
--- a/modules/coordination/mesh/key_assigner.cc
+++ b/modules/coordination/mesh/key_assigner.cc
@@ -15,16 +15,17 @@
 namespace {
 
 // Part of a rate that one round of counting replaces.
-constexpr auto kRoundShare = static_cast<float>(KeyBalancer::kNewestShare);
+constexpr auto kRateSmoothing =
+    static_cast<float>(KeyBalancer::kShortTermSmoothing);
 // Weight of a slot without arrivals, as part of the mean of all.
 constexpr double kIdleWeight = 0.1;
 // A fence holds the leader's epoch above a count of its grants.
-constexpr unsigned kGrantBits = 24;
+constexpr unsigned kFenceCounterBits = 24;
 
 // The run in the hands of `owner`; in nobody's when that is not set.
-OwnedRun AsOwned(OwnedRun run, const NextOwner& owner) {
+SlotAssignment WithOwner(SlotAssignment run, const NextOwner& owner) {
   run.owner = owner.address;
-  run.life = owner.life;
+  run.incarnation = owner.incarnation;
   if (owner.is_set())
     run.fence = owner.fence;
   run.next = {};
@@ -33,8 +34,9 @@
 
 // Copies: what is done with them changes the table.
 template <typename Runs, typename Predicate>
-std::vector<OwnedRun> Select(const Runs& runs, Predicate is_wanted) {
-  std::vector<OwnedRun> selected;
+std::vector<SlotAssignment> CopyMatching(const Runs& runs,
+                                         Predicate is_wanted) {
+  std::vector<SlotAssignment> selected;
   std::copy_if(runs.begin(), runs.end(), std::back_inserter(selected),
                is_wanted);
   return selected;
@@ -44,11 +46,11 @@
 
 struct KeyAssigner::Placement {
   const Member& Take(const SlotRange& range) {
-    return *receivers[places.Take(range)];
+    return *receivers[placement.AssignRange(range)];
   }
 
   std::vector<const Member*> receivers;
-  KeyPlacement places;
+  KeyPlacement placement;
 };
 
 KeyAssigner::KeyAssigner(std::uint64_t epoch,
@@ -63,20 +65,20 @@
   m_tables.try_emplace(service);
 }
 
-void KeyAssigner::CountArrivals(
+void KeyAssigner::AddRequestCounts(
     const std::string& service,
-    const std::vector<Heartbeat::SlotArrivals>& arrivals) {
+    const std::vector<Heartbeat::SlotRequestCount>& arrivals) {
   if (arrivals.empty())
     return;
   std::vector<float>& counts = m_counts[service];
   counts.resize(kSlotCount, 0);
-  for (const Heartbeat::SlotArrivals& slot : arrivals) {
+  for (const Heartbeat::SlotRequestCount& slot : arrivals) {
     if (slot.slot < kSlotCount)
       counts[slot.slot] += static_cast<float>(slot.count);
   }
 }
 
-void KeyAssigner::EndRound(double seconds) {
+void KeyAssigner::EndMeasurementRound(double seconds) {
   for (auto& [service, counts] : m_counts) {
     std::vector<float>& rates = m_rates[service];
     if (rates.empty()) {
@@ -86,72 +88,74 @@
     }
     for (std::uint32_t slot = 0; slot < kSlotCount; ++slot) {
       const auto rate = static_cast<float>(counts[slot] / seconds);
-      rates[slot] += kRoundShare * (rate - rates[slot]);
+      rates[slot] += kRateSmoothing * (rate - rates[slot]);
       counts[slot] = 0;
     }
   }
 }
 
-void KeyAssigner::FreeLost(
-    const std::function<bool(const OwnedRun&)>& is_lost) {
+void KeyAssigner::UnassignLostOwners(
+    const std::function<bool(const SlotAssignment&)>& is_lost) {
   for (const auto& [service, table] : m_tables) {
-    const auto is_next_lost = [&](const OwnedRun& run) {
-      return run.is_moving() && is_lost(AsOwned(run, run.next));
+    const auto is_next_lost = [&](const SlotAssignment& run) {
+      return run.is_moving() && is_lost(WithOwner(run, run.next));
     };
-    ReplaceNextOwners(service, Select(table.runs(), is_next_lost));
-    const auto is_owner_lost = [&](const OwnedRun& run) {
+    ReplaceNextOwners(service, CopyMatching(table.assignments(), is_next_lost));
+    const auto is_owner_lost = [&](const SlotAssignment& run) {
       return run.has_owner() && is_lost(run);
     };
-    for (const OwnedRun& run : Select(table.runs(), is_owner_lost))
-      TakeFromOwner(service, run, {});
+    for (const SlotAssignment& run :
+         CopyMatching(table.assignments(), is_owner_lost))
+      CompleteRelease(service, run, {});
   }
 }
 
 void KeyAssigner::ReplaceNextOwners(const std::string& service,
-                                    const std::vector<OwnedRun>& runs) {
+                                    const std::vector<SlotAssignment>& runs) {
   if (runs.empty())
     return;
   std::optional<Placement> placement = MakePlacement(service);
   if (!placement)
     return;
-  for (const OwnedRun& run : runs)
+  for (const SlotAssignment& run : runs)
     PlanMove(service, run, run.range, placement->Take(run.range));
 }
 
-void KeyAssigner::TakeFromOwner(const std::string& service,
-                                OwnedRun run,
-                                const std::string& handover) {
+void KeyAssigner::CompleteRelease(const std::string& service,
+                                  SlotAssignment run,
+                                  const std::string& handover) {
   // The next owner gets them also while it leaves: a leader before may have
   // given them to it already, and nobody else may have them then.
   const bool was_moving = run.is_moving();
-  run = AsOwned(run, run.next);
+  run = WithOwner(run, run.next);
   run.handover = handover;
-  Record(service, run);
+  RecordChange(service, run);
   if (was_moving)
     m_completed_moves.push_back({service, run});
 }
 
-void KeyAssigner::PlaceUnowned() {
+void KeyAssigner::AssignUnowned() {
   for (const auto& [service, table] : m_tables) {
     if (!table.HasUnowned())
       continue;
     std::optional<Placement> placement = MakePlacement(service);
     if (!placement)
       continue;
-    if (table.runs().size() == 1) {
-      SpreadAll(service, placement->receivers);
+    if (table.assignments().size() == 1) {
+      AssignAllSlots(service, placement->receivers);
       continue;
     }
-    const auto is_unowned = [](const OwnedRun& run) {
+    const auto is_unowned = [](const SlotAssignment& run) {
       return !run.has_owner();
     };
-    for (const OwnedRun& run : Select(table.runs(), is_unowned))
-      PlaceRun(service, run, *placement);
+    for (const SlotAssignment& run :
+         CopyMatching(table.assignments(), is_unowned))
+      AssignInPieces(service, run, *placement);
   }
 }
 
-void KeyAssigner::SpreadAll(const std::string& service,
-                            const std::vector<const Member*>& receivers) {
+void KeyAssigner::AssignAllSlots(const std::string& service,
+                                 const std::vector<const Member*>& receivers) {
   double all = 0;
   for (const Member* member : receivers)
     all += member->capacity;
@@ -163,66 +167,67 @@
     if (member == receivers.back())
       end = kSlotCount;
     if (end > next)
-      Give(service, {next, end - 1}, *member, {});
+      AssignRange(service, {next, end - 1}, *member, {});
     next = std::max(next, end);
   }
 }
 
-void KeyAssigner::PlaceRun(const std::string& service,
-                           const OwnedRun& run,
-                           Placement& placement) {
+void KeyAssigner::AssignInPieces(const std::string& service,
+                                 const SlotAssignment& run,
+                                 Placement& placement) {
   SlotRange rest = run.range;
   while (rest.first <= rest.last) {
     // What one holder gave back goes on together: its handover is for all.
     const SlotRange piece =
-        run.handover.empty() ? placement.places.FirstPiece(rest) : rest;
-    Give(service, piece, placement.Take(piece), run.handover);
+        run.handover.empty() ? placement.placement.FirstPiece(rest) : rest;
+    AssignRange(service, piece, placement.Take(piece), run.handover);
     rest.first = piece.last + 1;
   }
 }
 
-void KeyAssigner::OrderDrains() {
+void KeyAssigner::PlanDrains() {
   std::set<std::string_view> givers;
   for (const Member& member : m_members) {
-    if (member.must_give)
+    if (member.must_drain)
       givers.insert(member.address);
   }
   if (givers.empty())
     return;
-  const auto must_go = [&givers](const OwnedRun& run) {
+  const auto must_go = [&givers](const SlotAssignment& run) {
     return !run.is_moving() && givers.contains(run.owner);
   };
   for (const auto& [service, table] : m_tables) {
-    const std::vector<OwnedRun> runs = Select(table.runs(), must_go);
+    const std::vector<SlotAssignment> runs =
+        CopyMatching(table.assignments(), must_go);
     if (runs.empty())
       continue;
     std::optional<Placement> placement = MakePlacement(service);
     if (!placement)
       continue;
-    for (const OwnedRun& run : runs)
-      OrderDrain(service, run, *placement);
+    for (const SlotAssignment& run : runs)
+      PlanDrain(service, run, *placement);
   }
 }
 
-void KeyAssigner::OrderDrain(const std::string& service,
-                             const OwnedRun& run,
-                             Placement& placement) {
+void KeyAssigner::PlanDrain(const std::string& service,
+                            const SlotAssignment& run,
+                            Placement& placement) {
   SlotRange rest = run.range;
   while (rest.first <= rest.last) {
-    const SlotRange piece = placement.places.FirstPiece(rest);
+    const SlotRange piece = placement.placement.FirstPiece(rest);
     PlanMove(service, run, piece, placement.Take(piece));
     rest.first = piece.last + 1;
   }
 }
 
-void KeyAssigner::OrderBalance() {
+void KeyAssigner::PlanRebalancing() {
   for (const auto& [service, table] : m_tables) {
     const auto rates = m_rates.find(service);
     if (rates == m_rates.end() || table.HasUnowned())
       continue;
     std::vector<KeyBalancer::Target> targets;
     for (const Member& member : m_members) {
-      if (member.service == service && !member.must_give)
+      if (member.service == service && !member.must_drain)
         targets.push_back(
             {member.address, member.capacity, member.may_receive});
     }
@@ -233,38 +238,39 @@
         balancer.Plan(PlannedTable(service), rates->second, targets);
     if (!moves.empty()) {
       spdlog::info("event=keys-to-move service={} moves={} runs={}", service,
-                   moves.size(), table.runs().size());
+                   moves.size(), table.assignments().size());
     }
     for (const KeyBalancer::Move& move : moves) {
       const Member* receiver = FindReceiver(service, move.to);
       if (receiver == nullptr)
         continue;
-      const auto is_givers = [&move](const OwnedRun& run) {
+      const auto is_givers = [&move](const SlotAssignment& run) {
         return run.owner == move.from && !run.is_moving();
       };
-      for (const OwnedRun& run : Select(table.RunsIn(move.range), is_givers))
+      for (const SlotAssignment& run :
+           CopyMatching(table.AssignmentsIn(move.range), is_givers))
         PlanMove(service, run, run.range.CommonPart(move.range), *receiver);
     }
   }
 }
 
 void KeyAssigner::OnReleased(const std::string& from,
-                             const Heartbeat::Released& released) {
+                             const Heartbeat::ReleasedRange& released) {
   const auto found = m_tables.find(released.service);
   if (found == m_tables.end() || released.range.last >= kSlotCount ||
       released.range.first > released.range.last)
     return;
-  const auto is_meant = [&](const OwnedRun& run) {
+  const auto is_meant = [&](const SlotAssignment& run) {
     return run.owner == from && run.fence == released.fence;
   };
-  const std::vector<OwnedRun> runs =
-      Select(found->second.RunsIn(released.range), is_meant);
-  for (OwnedRun run : runs) {
+  const std::vector<SlotAssignment> runs =
+      CopyMatching(found->second.AssignmentsIn(released.range), is_meant);
+  for (SlotAssignment run : runs) {
     run.range = run.range.CommonPart(released.range);
-    TakeFromOwner(released.service, run, released.handover);
+    CompleteRelease(released.service, run, released.handover);
   }
   if (!runs.empty())
-    PlaceUnowned();
+    AssignUnowned();
 }
 
 std::vector<KeyAssigner::Change> KeyAssigner::TakeChanges() {
@@ -283,7 +289,7 @@
     const std::string& service) const {
   std::vector<const Member*> receivers;
   for (const Member& member : m_members) {
-    if (member.service == service && member.may_receive && !member.must_give)
+    if (member.service == service && member.may_receive && !member.must_drain)
       receivers.push_back(&member);
   }
   return receivers;
@@ -299,7 +305,7 @@
   return nullptr;
 }
 
-std::vector<float> KeyAssigner::WeightsOf(const std::string& service) const {
+std::vector<float> KeyAssigner::SlotWeights(const std::string& service) const {
   const auto rates = m_rates.find(service);
   if (rates == m_rates.end())
     return std::vector<float>(kSlotCount, 1.0F);
@@ -324,53 +330,54 @@
   for (const Member* member : members)
     receivers.push_back({member->address, member->capacity});
   KeyPlacement places(std::move(receivers), m_tables.at(service),
-                      WeightsOf(service));
+                      SlotWeights(service));
   return Placement{std::move(members), std::move(places)};
 }
 
 KeyTable KeyAssigner::PlannedTable(const std::string& service) const {
   KeyTable planned = m_tables.at(service);
-  for (const OwnedRun& run : m_tables.at(service).runs()) {
+  for (const SlotAssignment& run : m_tables.at(service).assignments()) {
     if (run.is_moving())
-      planned.Assign(AsOwned(run, run.next));
+      planned.Assign(WithOwner(run, run.next));
   }
   return planned;
 }
 
 void KeyAssigner::PlanMove(const std::string& service,
-                           const OwnedRun& run,
+                           const SlotAssignment& run,
                            SlotRange range,
                            const Member& to) {
-  OwnedRun moving = run;
+  SlotAssignment moving = run;
   moving.range = range;
-  moving.next = {to.address, to.life, NewFence()};
+  moving.next = {to.address, to.incarnation, NewFence()};
   m_tables[service].Assign(moving);
   m_changes.push_back({service, moving});
 }
 
 std::uint64_t KeyAssigner::NewFence() {
-  return (m_epoch << kGrantBits) + ++m_grants;
+  return (m_epoch << kFenceCounterBits) + ++m_fence_counter;
 }
 
-void KeyAssigner::Give(const std::string& service,
-                       SlotRange range,
-                       const Member& receiver,
-                       const std::string& handover) {
-  OwnedRun run;
+void KeyAssigner::AssignRange(const std::string& service,
+                              SlotRange range,
+                              const Member& receiver,
+                              const std::string& handover) {
+  SlotAssignment run;
   run.range = range;
   run.owner = receiver.address;
-  run.life = receiver.life;
+  run.incarnation = receiver.incarnation;
   run.fence = NewFence();
   run.handover = handover;
-  Record(service, run);
+  RecordChange(service, run);
 }
 
-void KeyAssigner::Record(const std::string& service, const OwnedRun& run) {
+void KeyAssigner::RecordChange(const std::string& service,
+                               const SlotAssignment& run) {
   m_tables[service].Assign(run);
   m_changes.push_back({service, run});
-  OwnedRun withdrawn = run;
+  SlotAssignment withdrawn = run;
   withdrawn.owner.clear();
-  withdrawn.life = {};
+  withdrawn.incarnation = {};
   m_withdrawals.push_back({service, withdrawn});
 }
 
--- a/modules/coordination/mesh/key_assigner.h
+++ b/modules/coordination/mesh/key_assigner.h
@@ -30,9 +30,9 @@
   struct Member {
     std::string address;
     std::string service;
-    TargetLife life;
+    TargetIncarnation incarnation;
     bool may_receive = false;
-    bool must_give = false;
+    bool must_drain = false;
     // Requests a second.
     double capacity = 1;
 
@@ -41,7 +41,7 @@
 
   struct Change {
     std::string service;
-    OwnedRun run;
+    SlotAssignment assignment;
 
     friend auto operator<=>(const Change&, const Change&) = default;
   };
@@ -53,19 +53,22 @@
   // A divided service whose keys are to be given out.
   void AddService(const std::string& service);
 
-  void CountArrivals(const std::string& service,
-                     const std::vector<Heartbeat::SlotArrivals>& arrivals);
+  void AddRequestCounts(
+      const std::string& service,
+      const std::vector<Heartbeat::SlotRequestCount>& arrivals);
   // Closes a round of counting that lasted `seconds`.
-  void EndRound(double seconds);
+  void EndMeasurementRound(double seconds);
 
   // Steps of a tick.
-  void FreeLost(const std::function<bool(const OwnedRun&)>& is_lost);
-  void PlaceUnowned();
-  void OrderDrains();
-  void OrderBalance();
+  void UnassignLostOwners(
+      const std::function<bool(const SlotAssignment&)>& is_lost);
+  void AssignUnowned();
+  void PlanDrains();
+  void PlanRebalancing();
 
   // Once more for keys that it gave back already changes nothing.
-  void OnReleased(const std::string& from, const Heartbeat::Released& released);
+  void OnReleased(const std::string& from,
+                  const Heartbeat::ReleasedRange& released);
 
   std::vector<Change> TakeChanges();
   // What its owner loses by the changes: to be published at once, before they
@@ -87,38 +90,38 @@
                              const std::string& address) const;
   // Arrivals by slot, with a little added to each: keys without any load now
   // are spread as well.
-  std::vector<float> WeightsOf(const std::string& service) const;
+  std::vector<float> SlotWeights(const std::string& service) const;
   // Nothing when nobody may get keys of the service.
   std::optional<Placement> MakePlacement(const std::string& service) const;
   KeyTable PlannedTable(const std::string& service) const;
-  void SpreadAll(const std::string& service,
-                 const std::vector<const Member*>& receivers);
-  void PlaceRun(const std::string& service,
-                const OwnedRun& run,
-                Placement& placement);
-  void OrderDrain(const std::string& service,
-                  const OwnedRun& run,
-                  Placement& placement);
+  void AssignAllSlots(const std::string& service,
+                      const std::vector<const Member*>& receivers);
+  void AssignInPieces(const std::string& service,
+                      const SlotAssignment& run,
+                      Placement& placement);
+  void PlanDrain(const std::string& service,
+                 const SlotAssignment& run,
+                 Placement& placement);
   void PlanMove(const std::string& service,
-                const OwnedRun& run,
+                const SlotAssignment& run,
                 SlotRange range,
                 const Member& to);
   // The owner of this part has it no longer.
-  void TakeFromOwner(const std::string& service,
-                     OwnedRun run,
-                     const std::string& handover);
+  void CompleteRelease(const std::string& service,
+                       SlotAssignment run,
+                       const std::string& handover);
   // The next owners of keys that still are to move are lost.
   void ReplaceNextOwners(const std::string& service,
-                         const std::vector<OwnedRun>& runs);
+                         const std::vector<SlotAssignment>& runs);
   std::uint64_t NewFence();
-  void Give(const std::string& service,
-            SlotRange range,
-            const Member& receiver,
-            const std::string& handover);
-  void Record(const std::string& service, const OwnedRun& run);
+  void AssignRange(const std::string& service,
+                   SlotRange range,
+                   const Member& receiver,
+                   const std::string& handover);
+  void RecordChange(const std::string& service, const SlotAssignment& run);
 
   const std::uint64_t m_epoch;
-  std::uint64_t m_grants = 0;
+  std::uint64_t m_fence_counter = 0;
   std::map<std::string, KeyTable> m_tables;
   std::vector<Member> m_members;
   std::vector<Change> m_changes;
