--- a/modules/coordination/mesh/key_balancer.cc
+++ b/modules/coordination/mesh/key_balancer.cc
@@ -15,31 +15,31 @@
 constexpr double kHotShare = 0.2;
 // And it takes this part of what a target can do: moved for less, popular keys
 // wander for ever and cut the table into single slots.
-constexpr double kHotUse = 0.05;
+constexpr double kHotUtilization = 0.05;
 // And so many requests came for it lately: fewer may be chance.
 constexpr double kHotRequests = 3;
 // A move may take this much more than wanted: one slot can't be divided.
 constexpr double kOvershoot = 1.5;
 // A taker may become as busy as this part of what the giver was.
-constexpr double kRelief = 0.85;
+constexpr double kMaxTakerUtilization = 0.85;
 // Less than this part of a target's work is not worth a move.
-constexpr double kLeastShare = 0.04;
+constexpr double kMinMoveShare = 0.04;
 // Part of a lasting rate that one round makes: a mean of three seconds or so.
-constexpr float kLastingShare = 0.08F;
+constexpr float kLongTermSmoothing = 0.08F;
 // A target's load is another one now when it differs by so many deviations. One
 // of hundreds does by chance once in a minute or so.
-constexpr double kChanged = 4;
+constexpr double kShiftDeviations = 4;
 // Its rates are then those of the last second, for so many rounds.
-constexpr std::uint32_t kAdoptedRounds = 12;
+constexpr std::uint32_t kResetRounds = 12;
 // Moves for balance are for differences of so many deviations; for fewer where
 // the load has just changed, as a hot spell lasts for a few seconds.
-constexpr double kUnbalanced = 2.5;
-constexpr double kUnbalancedNow = 1.5;
+constexpr double kImbalanceDeviations = 2.5;
+constexpr double kShiftedImbalanceDeviations = 1.5;
 // A slot that no target can serve moves to one that serves so much more of it.
-constexpr double kFaster = 1.5;
+constexpr double kMinSpeedup = 1.5;
 
 constexpr double kRoundSeconds =
-    std::chrono::duration<double>(KeyBalancer::kRound).count();
+    std::chrono::duration<double>(KeyBalancer::kRoundInterval).count();
 
 double SumOf(const std::vector<float>& rates,
              const std::vector<SlotRange>& ranges) {
@@ -55,192 +55,210 @@
 
 KeyBalancer::KeyBalancer(const Parameters& parameters)
     : m_parameters(parameters),
-      m_moved(kSlotCount, 0),
-      m_rates(kSlotCount, 0),
-      m_adopted(kSlotCount, 0) {}
+      m_last_moved_round(kSlotCount, 0),
+      m_long_term_rates(kSlotCount, 0),
+      m_last_reset_round(kSlotCount, 0) {}
 
 bool KeyBalancer::IsTooHot(std::uint32_t slot) const {
-  return m_rates[slot] > m_greatest_capacity;
+  return m_long_term_rates[slot] > m_max_capacity;
 }
 
-bool KeyBalancer::Rests(std::uint32_t slot) const {
-  const std::uint32_t rest = IsTooHot(slot) ? m_parameters.too_hot_rest_rounds
-                                            : m_parameters.rest_rounds;
-  return m_moved[slot] != 0 && m_round - m_moved[slot] < rest;
+bool KeyBalancer::IsInCooldown(std::uint32_t slot) const {
+  const std::uint32_t rest = IsTooHot(slot)
+                                 ? m_parameters.too_hot_cooldown_rounds
+                                 : m_parameters.cooldown_rounds;
+  return m_last_moved_round[slot] != 0 &&
+         m_round - m_last_moved_round[slot] < rest;
 }
 
-void KeyBalancer::Learn(const std::vector<float>& arrivals) {
+void KeyBalancer::UpdateLongTermRates(const std::vector<float>& arrivals) {
   const double all = std::accumulate(arrivals.begin(), arrivals.end(), 0.0);
   m_mean_rate = all / kSlotCount;
   // All slots are taken for alike until the rounds tell them apart.
   if (m_round++ == 0)
-    m_rates.assign(kSlotCount, static_cast<float>(m_mean_rate));
+    m_long_term_rates.assign(kSlotCount, static_cast<float>(m_mean_rate));
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot)
-    m_rates[slot] += kLastingShare * (arrivals[slot] - m_rates[slot]);
+    m_long_term_rates[slot] +=
+        kLongTermSmoothing * (arrivals[slot] - m_long_term_rates[slot]);
 }
 
-double KeyBalancer::NewestShare(bool has_changed) const {
-  return has_changed ? kNewestShare : kLastingShare;
+double KeyBalancer::SmoothingFactor(bool has_changed) const {
+  return has_changed ? kShortTermSmoothing : kLongTermSmoothing;
 }
 
-double KeyBalancer::Deviation(double arrivals, bool has_changed) const {
-  const double newest = NewestShare(has_changed);
+double KeyBalancer::StandardDeviation(double arrivals, bool has_changed) const {
+  const double newest = SmoothingFactor(has_changed);
   // It grows from nothing, as all slots begin alike.
   const double grown = 1 - std::pow(1 - newest, 2.0 * m_round);
   const double rounds = (2 - newest) / newest / grown;
   return std::sqrt(arrivals / (rounds * kRoundSeconds));
 }
 
-void KeyBalancer::AdoptChanges(const std::vector<Load>& loads,
-                               const std::vector<float>& arrivals) {
-  for (const Load& load : loads) {
+void KeyBalancer::ResetShiftedRates(const std::vector<TargetLoad>& loads,
+                                    const std::vector<float>& arrivals) {
+  for (const TargetLoad& load : loads) {
     const double lately = SumOf(arrivals, load.ranges);
-    const double lasting = SumOf(m_rates, load.ranges);
-    if (std::abs(lately - lasting) <= kChanged * Deviation(lasting, true))
+    const double lasting = SumOf(m_long_term_rates, load.ranges);
+    if (std::abs(lately - lasting) <=
+        kShiftDeviations * StandardDeviation(lasting, true))
       continue;
     for (const SlotRange& range : load.ranges) {
       for (std::uint32_t slot = range.first; slot <= range.last; ++slot) {
-        m_rates[slot] = arrivals[slot];
-        m_adopted[slot] = m_round;
+        m_long_term_rates[slot] = arrivals[slot];
+        m_last_reset_round[slot] = m_round;
       }
     }
   }
 }
 
-void KeyBalancer::MatchSum(const std::vector<float>& arrivals) {
+void KeyBalancer::NormalizeRates(const std::vector<float>& arrivals) {
   double lately = 0;
   double lasting = 0;
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot) {
-    if (m_adopted[slot] == m_round)
+    if (m_last_reset_round[slot] == m_round)
       continue;
     lately += arrivals[slot];
-    lasting += m_rates[slot];
+    lasting += m_long_term_rates[slot];
   }
   if (lasting <= 0)
     return;
   const auto factor = static_cast<float>(lately / lasting);
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot)
-    m_rates[slot] *= m_adopted[slot] == m_round ? 1 : factor;
+    m_long_term_rates[slot] *= m_last_reset_round[slot] == m_round ? 1 : factor;
 }
 
-void KeyBalancer::Measure(std::vector<Load>& loads) {
-  m_greatest_capacity = 0;
-  for (Load& load : loads) {
+void KeyBalancer::ComputeLoads(std::vector<TargetLoad>& loads) {
+  m_max_capacity = 0;
+  for (TargetLoad& load : loads) {
     double adopted = 0;
     for (const SlotRange& range : load.ranges) {
       for (std::uint32_t slot = range.first; slot <= range.last; ++slot) {
         const bool is_adopted =
-            m_adopted[slot] != 0 && m_round - m_adopted[slot] < kAdoptedRounds;
-        load.arrivals += m_rates[slot];
-        adopted += is_adopted ? m_rates[slot] : 0;
+            m_last_reset_round[slot] != 0 &&
+            m_round - m_last_reset_round[slot] < kResetRounds;
+        load.arrivals += m_long_term_rates[slot];
+        adopted += is_adopted ? m_long_term_rates[slot] : 0;
       }
     }
-    load.has_changed = adopted > load.arrivals / 2;
-    m_greatest_capacity = std::max(m_greatest_capacity, load.target.capacity);
+    load.has_load_shift = adopted > load.arrivals / 2;
+    m_max_capacity = std::max(m_max_capacity, load.target.capacity);
   }
 }
 
-double KeyBalancer::MeanUse(const std::vector<Load>& loads) const {
+double KeyBalancer::MeanUtilization(
+    const std::vector<TargetLoad>& loads) const {
   double arrivals = 0;
   double capacity = 0;
-  for (const Load& load : loads) {
+  for (const TargetLoad& load : loads) {
     arrivals += load.arrivals;
     capacity += load.target.may_receive ? load.target.capacity : 0;
   }
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot) {
     if (IsTooHot(slot))
-      arrivals -= m_rates[slot] - m_greatest_capacity;
+      arrivals -= m_long_term_rates[slot] - m_max_capacity;
   }
   return capacity > 0 ? arrivals / capacity : 0;
 }
 
-bool KeyBalancer::IsWorthMove(const Load& giver,
-                              const Load& taker,
+bool KeyBalancer::IsWorthMove(const TargetLoad& giver,
+                              const TargetLoad& taker,
                               double mean) const {
-  if (giver.use() < m_parameters.idle_use)
+  if (giver.utilization() < m_parameters.idle_utilization)
     return false;
-  const auto is_beyond_chance = [&](const Load& load) {
+  const auto is_beyond_chance = [&](const TargetLoad& load) {
     const double expected = mean * load.target.capacity;
-    const double least = load.has_changed ? kUnbalancedNow : kUnbalanced;
+    const double least = load.has_load_shift ? kShiftedImbalanceDeviations
+                                             : kImbalanceDeviations;
     return std::abs(load.arrivals - expected) >
-           least * Deviation(expected, load.has_changed);
+           least * StandardDeviation(expected, load.has_load_shift);
   };
-  const bool needs_relief = giver.use() > m_parameters.busy_use &&
-                            giver.use() > mean * m_parameters.band &&
-                            is_beyond_chance(giver);
+  const bool needs_relief =
+      giver.utilization() > m_parameters.busy_utilization &&
+      giver.utilization() > mean * m_parameters.imbalance_factor &&
+      is_beyond_chance(giver);
   const bool is_taker_empty =
-      taker.use() < m_parameters.empty_share * mean && is_beyond_chance(taker);
-  return needs_relief || (is_taker_empty && giver.use() > mean);
+      taker.utilization() < m_parameters.underused_share * mean &&
+      is_beyond_chance(taker);
+  return needs_relief || (is_taker_empty && giver.utilization() > mean);
 }
 
-double KeyBalancer::LeastHot(bool has_changed) const {
+double KeyBalancer::MinHotRate(bool has_changed) const {
   const double beyond_chance =
-      m_mean_rate + kChanged * Deviation(m_mean_rate, has_changed);
-  const double requests = kHotRequests * NewestShare(has_changed);
+      m_mean_rate +
+      kShiftDeviations * StandardDeviation(m_mean_rate, has_changed);
+  const double requests = kHotRequests * SmoothingFactor(has_changed);
   return std::max(requests / kRoundSeconds, beyond_chance);
 }
 
-KeyBalancer::Wanted KeyBalancer::WantedOf(const Load& giver,
-                                          const Load& taker,
-                                          double mean) const {
+KeyBalancer::MoveLimits KeyBalancer::LimitsFor(const TargetLoad& giver,
+                                               const TargetLoad& taker,
+                                               double mean) const {
   const double over = giver.arrivals - mean * giver.target.capacity;
   const double room = mean * taker.target.capacity - taker.arrivals;
-  Wanted wanted;
-  wanted.amount = std::min(over, room);
-  if (wanted.amount < kLeastShare * giver.arrivals &&
-      wanted.amount < kLeastShare * giver.target.capacity)
-    wanted.amount = 0;
-  wanted.hot = std::max({kHotShare * over, kHotUse * giver.target.capacity,
-                         LeastHot(giver.has_changed)});
+  MoveLimits wanted;
+  wanted.even_load = std::min(over, room);
+  if (wanted.even_load < kMinMoveShare * giver.arrivals &&
+      wanted.even_load < kMinMoveShare * giver.target.capacity)
+    wanted.even_load = 0;
+  wanted.hot_threshold =
+      std::max({kHotShare * over, kHotUtilization * giver.target.capacity,
+                MinHotRate(giver.has_load_shift)});
   // What makes the taker busier than this relieves nobody.
   const double bearable =
-      kRelief * giver.use() * taker.target.capacity - taker.arrivals;
-  wanted.most = std::min(over * kOvershoot, bearable);
+      kMaxTakerUtilization * giver.utilization() * taker.target.capacity -
+      taker.arrivals;
+  wanted.max_rate = std::min(over * kOvershoot, bearable);
   const bool is_faster =
-      taker.target.capacity > kFaster * giver.target.capacity;
+      taker.target.capacity > kMinSpeedup * giver.target.capacity;
   if (!is_faster)
-    wanted.most = std::min(wanted.most, m_greatest_capacity);
+    wanted.max_rate = std::min(wanted.max_rate, m_max_capacity);
   return wanted;
 }
 
-SlotRange KeyBalancer::CutEven(const SlotRange& run, double amount) const {
+SlotRange KeyBalancer::CutFromEnd(const SlotRange& run, double amount) const {
   constexpr SlotRange kNothing{1, 0};
   const auto fits = [&](std::uint32_t slot, double sum) {
-    return !Rests(slot) && sum + m_rates[slot] <= amount * kOvershoot;
+    return !IsInCooldown(slot) &&
+           sum + m_long_term_rates[slot] <= amount * kOvershoot;
   };
   double sum = 0;
   std::uint32_t first = run.last + 1;
   while (first > run.first && sum < amount && fits(first - 1, sum))
-    sum += m_rates[--first];
+    sum += m_long_term_rates[--first];
   if (sum > 0)
     return {first, run.last};
   std::uint32_t end = run.first;
   while (end <= run.last && sum < amount && fits(end, sum))
-    sum += m_rates[end++];
+    sum += m_long_term_rates[end++];
   return sum > 0 ? SlotRange{run.first, end - 1} : kNothing;
 }
 
-SlotRange KeyBalancer::Choose(const Load& from, const Wanted& wanted) const {
+SlotRange KeyBalancer::ChooseRange(const TargetLoad& from,
+                                   const MoveLimits& wanted) const {
   const SlotRange* widest = nullptr;
   std::uint32_t hottest = kSlotCount;
   for (const SlotRange& range : from.ranges) {
     if (widest == nullptr || range.size() > widest->size())
       widest = &range;
     for (std::uint32_t slot = range.first; slot <= range.last; ++slot) {
-      if (Rests(slot) || m_rates[slot] > wanted.most)
+      if (IsInCooldown(slot) || m_long_term_rates[slot] > wanted.max_rate)
         continue;
-      if (hottest == kSlotCount || m_rates[slot] > m_rates[hottest])
+      if (hottest == kSlotCount ||
+          m_long_term_rates[slot] > m_long_term_rates[hottest])
         hottest = slot;
     }
   }
-  if (hottest != kSlotCount && m_rates[hottest] >= wanted.hot)
+  if (hottest != kSlotCount &&
+      m_long_term_rates[hottest] >= wanted.hot_threshold)
     return {hottest, hottest};
-  if (widest == nullptr || wanted.amount <= 0)
+  if (widest == nullptr || wanted.even_load <= 0)
     return {1, 0};
-  return CutEven(*widest, wanted.amount);
+  return CutFromEnd(*widest, wanted.even_load);
 }
 
-void KeyBalancer::Carry(const SlotRange& range, Load& from, Load& to) {
+void KeyBalancer::ApplyMove(const SlotRange& range,
+                            TargetLoad& from,
+                            TargetLoad& to) {
   const auto found = std::find_if(
       from.ranges.begin(), from.ranges.end(),
       [&range](const SlotRange& one) { return one.Contains(range); });
@@ -252,9 +270,9 @@
     from.ranges.push_back({range.last + 1, before.last});
   to.ranges.push_back(range);
   for (std::uint32_t slot = range.first; slot <= range.last; ++slot) {
-    m_moved[slot] = m_round;
-    from.arrivals -= m_rates[slot];
-    to.arrivals += m_rates[slot];
+    m_last_moved_round[slot] = m_round;
+    from.arrivals -= m_long_term_rates[slot];
+    to.arrivals += m_long_term_rates[slot];
   }
 }
 
@@ -262,12 +280,12 @@
     const KeyTable& table,
     const std::vector<float>& arrivals,
     const std::vector<Target>& targets) {
-  Learn(arrivals);
-  std::vector<Load> loads = LoadsOf(table, targets);
-  AdoptChanges(loads, arrivals);
-  MatchSum(arrivals);
-  Measure(loads);
-  const double mean = MeanUse(loads);
+  UpdateLongTermRates(arrivals);
+  std::vector<TargetLoad> loads = GroupByOwner(table, targets);
+  ResetShiftedRates(loads, arrivals);
+  NormalizeRates(arrivals);
+  ComputeLoads(loads);
+  const double mean = MeanUtilization(loads);
   std::vector<Move> moves;
   if (loads.size() < 2 || mean <= 0)
     return moves;
@@ -278,40 +296,42 @@
   while (moves.size() < most_moves) {
     // Givers of whom nothing can be taken must not keep others from being
     // relieved.
-    Load* giver = nullptr;
-    Load* taker = nullptr;
-    for (Load& load : loads) {
-      if (!load.is_stuck && (giver == nullptr || load.use() > giver->use()))
+    TargetLoad* giver = nullptr;
+    TargetLoad* taker = nullptr;
+    for (TargetLoad& load : loads) {
+      if (!load.is_exhausted &&
+          (giver == nullptr || load.utilization() > giver->utilization()))
         giver = &load;
       if (load.target.may_receive &&
-          (taker == nullptr || load.use() < taker->use()))
+          (taker == nullptr || load.utilization() < taker->utilization()))
         taker = &load;
     }
     if (giver == nullptr || taker == nullptr || taker == giver ||
         !IsWorthMove(*giver, *taker, mean))
       break;
-    const SlotRange range = Choose(*giver, WantedOf(*giver, *taker, mean));
+    const SlotRange range =
+        ChooseRange(*giver, LimitsFor(*giver, *taker, mean));
     if (range.first > range.last) {
-      giver->is_stuck = true;
+      giver->is_exhausted = true;
       continue;
     }
-    Carry(range, *giver, *taker);
+    ApplyMove(range, *giver, *taker);
     moves.push_back({range, giver->target.address, taker->target.address});
   }
   return moves;
 }
 
-std::vector<KeyBalancer::Load> KeyBalancer::LoadsOf(
+std::vector<KeyBalancer::TargetLoad> KeyBalancer::GroupByOwner(
     const KeyTable& table,
     const std::vector<Target>& targets) {
-  std::vector<Load> loads;
+  std::vector<TargetLoad> loads;
   loads.reserve(targets.size());
   std::unordered_map<std::string_view, std::size_t> places;
   for (const Target& target : targets) {
     places.emplace(target.address, loads.size());
     loads.emplace_back().target = target;
   }
-  for (const OwnedRun& run : table.runs()) {
+  for (const SlotAssignment& run : table.assignments()) {
     const auto found = places.find(run.owner);
     if (found != places.end())
       loads[found->second].ranges.push_back(run.range);
--- a/modules/coordination/mesh/key_balancer.h
+++ b/modules/coordination/mesh/key_balancer.h
@@ -40,30 +40,30 @@
 class KeyBalancer {
  public:
   // How often arrivals are looked at for moves.
-  static constexpr std::chrono::milliseconds kRound{250};
+  static constexpr std::chrono::milliseconds kRoundInterval{250};
   // The part that the newest round makes of the rates that Plan() is given.
   // With it a hot spot shows in half a second, and noise of a few requests does
   // not.
-  static constexpr double kNewestShare = 0.3;
+  static constexpr double kShortTermSmoothing = 0.3;
 
   struct Parameters {
     // Above the mean use by more than this factor a target gives keys away.
-    double band = 1.15;
+    double imbalance_factor = 1.15;
     // Below this use a target needs no relief: its callers hardly wait.
-    double busy_use = 0.55;
+    double busy_utilization = 0.55;
     // Unless somebody has less than this part of the mean: one that joined, or
     // is faster than the others. It gets work from any that has more than the
     // mean.
-    double empty_share = 0.7;
+    double underused_share = 0.7;
     // Below this use not even then.
-    double idle_use = 0.05;
+    double idle_utilization = 0.05;
     // In a round; in a large mesh for this part of the targets, as the keys
     // that move are out of service meanwhile.
     std::size_t max_moves = 16;
     double max_moved_share = 0.15;
-    std::uint32_t rest_rounds = 8;
+    std::uint32_t cooldown_rounds = 8;
     // The same for a slot that no target can serve: longer than a hot spell.
-    std::uint32_t too_hot_rest_rounds = 24;
+    std::uint32_t too_hot_cooldown_rounds = 24;
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
@@ -95,67 +95,72 @@
                          const std::vector<Target>& targets);
 
  private:
-  struct Load {
+  struct TargetLoad {
     Target target;
     // Its slots, as planned.
     std::vector<SlotRange> ranges;
     double arrivals = 0;
     // Its load has just changed: its rates are means of a second.
-    bool has_changed = false;
+    bool has_load_shift = false;
     // No slots can be taken from it.
-    bool is_stuck = false;
-    double use() const { return arrivals / target.capacity; }
+    bool is_exhausted = false;
+    double utilization() const { return arrivals / target.capacity; }
   };
   // What a move is to take off its giver.
-  struct Wanted {
+  struct MoveLimits {
     // Of even load.
-    double amount = 0;
+    double even_load = 0;
     // Arrivals of a single slot, to go by itself.
-    double hot = 0;
-    double most = 0;
+    double hot_threshold = 0;
+    double max_rate = 0;
   };
 
-  static std::vector<Load> LoadsOf(const KeyTable& table,
-                                   const std::vector<Target>& targets);
-  void Learn(const std::vector<float>& arrivals);
+  static std::vector<TargetLoad> GroupByOwner(
+      const KeyTable& table,
+      const std::vector<Target>& targets);
+  void UpdateLongTermRates(const std::vector<float>& arrivals);
   // Where a target's load is another one now, its slots' rates become those of
   // the last second.
-  void AdoptChanges(const std::vector<Load>& loads,
-                    const std::vector<float>& arrivals);
+  void ResetShiftedRates(const std::vector<TargetLoad>& loads,
+                         const std::vector<float>& arrivals);
   // The sum of all others is known better than each of them.
-  void MatchSum(const std::vector<float>& arrivals);
-  void Measure(std::vector<Load>& loads);
+  void NormalizeRates(const std::vector<float>& arrivals);
+  void ComputeLoads(std::vector<TargetLoad>& loads);
   // Mean use of all, without what nobody can serve.
-  double MeanUse(const std::vector<Load>& loads) const;
+  double MeanUtilization(const std::vector<TargetLoad>& loads) const;
   // The part that the newest round makes of a target's rates.
-  double NewestShare(bool has_changed) const;
+  double SmoothingFactor(bool has_changed) const;
   // How far a rate differs by chance from its mean of `arrivals` a second.
-  double Deviation(double arrivals, bool has_changed) const;
+  double StandardDeviation(double arrivals, bool has_changed) const;
   // A slot with fewer arrivals a second may have them by chance.
-  double LeastHot(bool has_changed) const;
+  double MinHotRate(bool has_changed) const;
   // Whether the giver should give to the taker, with this mean use of all.
-  bool IsWorthMove(const Load& giver, const Load& taker, double mean) const;
-  Wanted WantedOf(const Load& giver, const Load& taker, double mean) const;
+  bool IsWorthMove(const TargetLoad& giver,
+                   const TargetLoad& taker,
+                   double mean) const;
+  MoveLimits LimitsFor(const TargetLoad& giver,
+                       const TargetLoad& taker,
+                       double mean) const;
   // Empty (first after last) when there is nothing to take.
-  SlotRange Choose(const Load& from, const Wanted& wanted) const;
+  SlotRange ChooseRange(const TargetLoad& from, const MoveLimits& wanted) const;
   // About `amount` off either end of the run.
-  SlotRange CutEven(const SlotRange& run, double amount) const;
+  SlotRange CutFromEnd(const SlotRange& run, double amount) const;
   // The slot's load is more than any target can do.
   bool IsTooHot(std::uint32_t slot) const;
-  bool Rests(std::uint32_t slot) const;
-  void Carry(const SlotRange& range, Load& from, Load& to);
+  bool IsInCooldown(std::uint32_t slot) const;
+  void ApplyMove(const SlotRange& range, TargetLoad& from, TargetLoad& to);
 
   const Parameters m_parameters;
   std::uint32_t m_round = 0;
   // By slot: the round in which it moved last.
-  std::vector<std::uint32_t> m_moved;
+  std::vector<std::uint32_t> m_last_moved_round;
   // By slot: requests a second, as a mean of some seconds.
-  std::vector<float> m_rates;
+  std::vector<float> m_long_term_rates;
   // By slot: the round in which its rate was made that of the last second.
-  std::vector<std::uint32_t> m_adopted;
+  std::vector<std::uint32_t> m_last_reset_round;
   // Of a slot.
   double m_mean_rate = 0;
-  double m_greatest_capacity = 0;
+  double m_max_capacity = 0;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/key_balancer_test.cc
+++ b/modules/coordination/mesh/key_balancer_test.cc
@@ -23,7 +23,7 @@
 KeyTable EvenTable() {
   KeyTable table;
   for (std::uint32_t i = 0; i < kTargets; ++i) {
-    OwnedRun run;
+    SlotAssignment run;
     run.range = {i * kSlotCount / kTargets,
                  (i + 1) * kSlotCount / kTargets - 1};
     run.owner = Name(i);
@@ -45,7 +45,7 @@
              const std::string& owner) {
   double sum = 0;
   double all = 0;
-  for (const OwnedRun& run : table.runs()) {
+  for (const SlotAssignment& run : table.assignments()) {
     for (std::uint32_t s = run.range.first; s <= run.range.last; ++s) {
       all += arrivals[s];
       sum += run.owner == owner ? arrivals[s] : 0;
@@ -57,7 +57,7 @@
 // Carries the moves out, as if they had no cost.
 void Carry(KeyTable& table, const std::vector<KeyBalancer::Move>& moves) {
   for (const KeyBalancer::Move& move : moves) {
-    OwnedRun run = table.Find(move.range.first);
+    SlotAssignment run = table.Find(move.range.first);
     run.range = move.range;
     run.owner = move.to;
     table.Assign(run);
@@ -152,7 +152,7 @@
   explicit LargeMesh(double use)
       : m_arrivals(kSlotCount), m_rates(kSlotCount, 0) {
     for (std::uint32_t i = 0; i < kSize; ++i) {
-      OwnedRun run;
+      SlotAssignment run;
       run.range = {i * kSlotCount / kSize, (i + 1) * kSlotCount / kSize - 1};
       run.owner = Name(i);
       run.fence = i + 1;
@@ -189,7 +189,7 @@
   // Arrivals as part of what the target can do.
   double UseOf(const std::string& name) const {
     double sum = 0;
-    for (const OwnedRun& run : table.runs()) {
+    for (const SlotAssignment& run : table.assignments()) {
       if (run.owner != name)
         continue;
       for (std::uint32_t s = run.range.first; s <= run.range.last; ++s)
@@ -213,8 +213,9 @@
   // As a leader counts them: a round decides a part of each rate.
   void CountArrivals() {
     constexpr double kSeconds =
-        std::chrono::duration<double>(KeyBalancer::kRound).count();
-    constexpr auto kRoundShare = static_cast<float>(KeyBalancer::kNewestShare);
+        std::chrono::duration<double>(KeyBalancer::kRoundInterval).count();
+    constexpr auto kRoundShare =
+        static_cast<float>(KeyBalancer::kShortTermSmoothing);
     const double all =
         std::accumulate(m_arrivals.begin(), m_arrivals.end(), 0.0);
     if (std::exchange(m_is_first, false))
@@ -239,7 +240,8 @@
 };
 
 constexpr std::uint32_t kHotSlot = 3651;
-constexpr int kRoundsPerSecond = std::chrono::seconds(1) / KeyBalancer::kRound;
+constexpr int kRoundsPerSecond =
+    std::chrono::seconds(1) / KeyBalancer::kRoundInterval;
 
 }  // namespace
 
--- a/modules/coordination/mesh/key_placement.cc
+++ b/modules/coordination/mesh/key_placement.cc
@@ -12,13 +12,13 @@
 
 // A range is given out in pieces of at most this part of what one receiver
 // would get of all.
-constexpr double kPieceShare = 0.34;
+constexpr double kMaxPieceShare = 0.34;
 
-const std::string& PlannedOwner(const OwnedRun& run) {
+const std::string& PlannedOwner(const SlotAssignment& run) {
   return run.is_moving() ? run.next.address : run.owner;
 }
 
-std::vector<double> SumsBefore(const std::vector<float>& weights) {
+std::vector<double> PrefixSums(const std::vector<float>& weights) {
   std::vector<double> sums;
   sums.reserve(weights.size() + 1);
   double sum = 0;
@@ -36,29 +36,29 @@
                            const KeyTable& table,
                            const std::vector<float>& weights)
     : m_receivers(std::move(receivers)),
-      m_weight_before(SumsBefore(weights)),
+      m_prefix_weights(PrefixSums(weights)),
       m_loads(m_receivers.size(), 0) {
   // The caller must pass somebody who may get keys, and a weight a slot.
   assert(!m_receivers.empty() && weights.size() == kSlotCount);
   std::map<std::string_view, std::size_t> places;
   for (std::size_t i = 0; i < m_receivers.size(); ++i)
     places.emplace(m_receivers[i].address, i);
-  for (const OwnedRun& run : table.runs()) {
+  for (const SlotAssignment& run : table.assignments()) {
     const auto found = places.find(PlannedOwner(run));
     if (found != places.end())
       m_loads[found->second] += WeightOf(run.range);
   }
-  m_piece_weight = m_weight_before.back() /
-                   static_cast<double>(m_receivers.size()) * kPieceShare;
+  m_max_piece_weight = m_prefix_weights.back() /
+                       static_cast<double>(m_receivers.size()) * kMaxPieceShare;
 }
 
 double KeyPlacement::WeightOf(const SlotRange& range) const {
-  return m_weight_before[range.last + 1] - m_weight_before[range.first];
+  return m_prefix_weights[range.last + 1] - m_prefix_weights[range.first];
 }
 
 SlotRange KeyPlacement::FirstPiece(const SlotRange& range) const {
-  const double most = m_weight_before[range.first] + m_piece_weight;
-  const auto begin = m_weight_before.begin();
+  const double most = m_prefix_weights[range.first] + m_max_piece_weight;
+  const auto begin = m_prefix_weights.begin();
   // From the weight with two slots on: one is a piece whatever it weighs.
   const auto too_heavy =
       std::upper_bound(begin + range.first + 2, begin + range.last + 2, most);
@@ -66,7 +66,7 @@
   return {range.first, slots_before - 1};
 }
 
-std::size_t KeyPlacement::Take(const SlotRange& range) {
+std::size_t KeyPlacement::AssignRange(const SlotRange& range) {
   const double weight = WeightOf(range);
   std::size_t best = 0;
   double least = 0;
--- a/modules/coordination/mesh/key_placement.h
+++ b/modules/coordination/mesh/key_placement.h
@@ -40,17 +40,17 @@
   SlotRange FirstPiece(const SlotRange& range) const;
 
   // The place, among the receivers, of the one that gets the range.
-  std::size_t Take(const SlotRange& range);
+  std::size_t AssignRange(const SlotRange& range);
 
  private:
   double WeightOf(const SlotRange& range) const;
 
   const std::vector<Receiver> m_receivers;
   // Of all slots before each one, and of all.
-  std::vector<double> m_weight_before;
+  std::vector<double> m_prefix_weights;
   // By receiver: the weight of what it has or is to get.
   std::vector<double> m_loads;
-  double m_piece_weight = 0;
+  double m_max_piece_weight = 0;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/key_placement_test.cc
+++ b/modules/coordination/mesh/key_placement_test.cc
@@ -11,8 +11,8 @@
 
 const std::vector<float> kEven(kSlotCount, 1.0F);
 
-OwnedRun Run(const SlotRange& range, const std::string& owner) {
-  OwnedRun run;
+SlotAssignment Run(const SlotRange& range, const std::string& owner) {
+  SlotAssignment run;
   run.range = range;
   run.owner = owner;
   run.fence = 1;
@@ -25,19 +25,19 @@
   KeyTable table;
   table.Assign(Run({0, 99}, "a"));
   KeyPlacement placement({{"a", 1}, {"b", 1}, {"c", 4}}, table, kEven);
-  CHECK(placement.Take({100, 399}) == 2);
-  CHECK(placement.Take({400, 449}) == 1);
+  CHECK(placement.AssignRange({100, 399}) == 2);
+  CHECK(placement.AssignRange({400, 449}) == 1);
   // a has 100 already, b 50 now and c 300 with four times their size.
-  CHECK(placement.Take({450, 459}) == 1);
+  CHECK(placement.AssignRange({450, 459}) == 1);
 }
 
 TEST_CASE("keys that move count for their next owner") {
   KeyTable table;
-  OwnedRun moving = Run({0, 999}, "a");
+  SlotAssignment moving = Run({0, 999}, "a");
   moving.next = {"b", {"t-b", 0}, 2};
   table.Assign(moving);
   KeyPlacement placement({{"a", 1}, {"b", 1}}, table, kEven);
-  CHECK(placement.Take({1000, 1099}) == 0);
+  CHECK(placement.AssignRange({1000, 1099}) == 0);
 }
 
 TEST_CASE("a busy slot is a piece by itself, idle ones go together") {
@@ -61,7 +61,7 @@
   SlotRange rest{0, kSlotCount - 1};
   while (rest.first <= rest.last) {
     const SlotRange piece = placement.FirstPiece(rest);
-    slots[placement.Take(piece)] += piece.size();
+    slots[placement.AssignRange(piece)] += piece.size();
     rest.first = piece.last + 1;
   }
   CHECK(slots.size() == receivers.size());
--- a/modules/coordination/mesh/leader_tracker.cc
+++ b/modules/coordination/mesh/leader_tracker.cc
@@ -7,15 +7,17 @@
 namespace {
 
 // One answer may get lost; a frozen or lost leader does not answer twice.
-constexpr unsigned kFailuresToGiveUp = 2;
+constexpr unsigned kMaxFailures = 2;
 // A node that was asked in vain is not asked again for so long: longer than a
 // vote is promised, so that another can be elected meanwhile.
-constexpr std::chrono::milliseconds kInVainCounts{1500};
+constexpr std::chrono::milliseconds kFailedNodeBackoff{1500};
 
 }  // namespace
 
 LeaderTracker::LeaderTracker(const Clock& clock, Clock::Duration patience)
-    : m_clock(clock), m_patience(patience), m_last_sign(clock.Now()) {}
+    : m_clock(clock),
+      m_hint_timeout(patience),
+      m_last_leader_reply(clock.Now()) {}
 
 void LeaderTracker::Follow(const std::string& node) {
   m_address = node;
@@ -24,14 +26,14 @@
   m_followed_since = m_clock.Now();
 }
 
-void LeaderTracker::Forget() {
+void LeaderTracker::Clear() {
   m_address.clear();
   m_has_answered = false;
   m_failures = 0;
 }
 
-void LeaderTracker::OnAnswered(const std::string& node) {
-  m_last_sign = m_clock.Now();
+void LeaderTracker::OnLeaderReply(const std::string& node) {
+  m_last_leader_reply = m_clock.Now();
   if (!is_followed(node))
     return;
   m_failures = 0;
@@ -43,8 +45,9 @@
   if (!is_followed(node))
     return;
   m_has_answered = false;
-  const Clock::TimePoint since = std::max(m_followed_since, m_last_sign);
-  if (m_clock.Now() - since > m_patience || hint == node) {
+  const Clock::TimePoint since =
+      std::max(m_followed_since, m_last_leader_reply);
+  if (m_clock.Now() - since > m_hint_timeout || hint == node) {
     GiveUp(node);
     return;
   }
@@ -54,7 +57,7 @@
   m_failures = 0;
 }
 
-void LeaderTracker::OnNewProcess(const std::string& node) {
+void LeaderTracker::OnRestarted(const std::string& node) {
   if (is_followed(node))
     GiveUp(node);
 }
@@ -64,40 +67,40 @@
     GiveUp(node);
 }
 
-bool LeaderTracker::OnUnanswered(const std::string& node) {
-  if (!is_followed(node) || ++m_failures < kFailuresToGiveUp)
+bool LeaderTracker::OnTimeout(const std::string& node) {
+  if (!is_followed(node) || ++m_failures < kMaxFailures)
     return false;
   GiveUp(node);
   return true;
 }
 
-void LeaderTracker::OnRefused(const std::string& node) {
-  m_asked_in_vain[node] = m_clock.Now();
+void LeaderTracker::OnConnectionRefused(const std::string& node) {
+  m_failed_at[node] = m_clock.Now();
   if (is_followed(node))
-    Forget();
+    Clear();
 }
 
 void LeaderTracker::GiveUp(const std::string& node) {
-  m_asked_in_vain[node] = m_clock.Now();
-  Forget();
+  m_failed_at[node] = m_clock.Now();
+  Clear();
 }
 
-bool LeaderTracker::MayBePromised(const std::string& node) const {
+bool LeaderTracker::IsConfirmedLeader(const std::string& node) const {
   return is_followed(node) && m_has_answered;
 }
 
-bool LeaderTracker::WasAskedInVain(const std::string& node) const {
-  const auto found = m_asked_in_vain.find(node);
-  return found != m_asked_in_vain.end() &&
-         m_clock.Now() - found->second <= kInVainCounts;
+bool LeaderTracker::HasRecentlyFailed(const std::string& node) const {
+  const auto found = m_failed_at.find(node);
+  return found != m_failed_at.end() &&
+         m_clock.Now() - found->second <= kFailedNodeBackoff;
 }
 
-void LeaderTracker::NoteOwnLead() {
-  m_last_sign = m_clock.Now();
+void LeaderTracker::OnOwnLeadership() {
+  m_last_leader_reply = m_clock.Now();
 }
 
-Clock::Duration LeaderTracker::TimeWithoutLeader() const {
-  return m_clock.Now() - m_last_sign;
+Clock::Duration LeaderTracker::TimeSinceLeaderReply() const {
+  return m_clock.Now() - m_last_leader_reply;
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/leader_tracker.h
+++ b/modules/coordination/mesh/leader_tracker.h
@@ -34,42 +34,42 @@
 
   // A source that may be right named it: it gets time to answer.
   void Follow(const std::string& node);
-  void Forget();
+  void Clear();
 
   // The one followed answered as the leader.
-  void OnAnswered(const std::string& node);
+  void OnLeaderReply(const std::string& node);
   // It answered that it does not lead, and whom to ask instead (may be empty).
   void OnNotLeading(const std::string& node, const std::string& hint);
   // Its process is new, and knows of no leader.
-  void OnNewProcess(const std::string& node);
+  void OnRestarted(const std::string& node);
   // It answered as the leader that it no longer is.
   void OnDeposed(const std::string& node);
   // It did not answer. True when it is given up: it was the second time.
-  bool OnUnanswered(const std::string& node);
+  bool OnTimeout(const std::string& node);
   // Nobody listens at its address.
-  void OnRefused(const std::string& node);
+  void OnConnectionRefused(const std::string& node);
 
   // It has answered as the leader since it is followed.
-  bool MayBePromised(const std::string& node) const;
+  bool IsConfirmedLeader(const std::string& node) const;
   // It was asked in vain a short while ago.
-  bool WasAskedInVain(const std::string& node) const;
+  bool HasRecentlyFailed(const std::string& node) const;
 
   // This node leads, or did until now.
-  void NoteOwnLead();
+  void OnOwnLeadership();
   // Since a leader answered last, whoever is followed meanwhile.
-  Clock::Duration TimeWithoutLeader() const;
+  Clock::Duration TimeSinceLeaderReply() const;
 
  private:
   void GiveUp(const std::string& node);
 
   const Clock& m_clock;
-  const Clock::Duration m_patience;
+  const Clock::Duration m_hint_timeout;
   std::string m_address;
   bool m_has_answered = false;
   unsigned m_failures = 0;
-  Clock::TimePoint m_last_sign;
+  Clock::TimePoint m_last_leader_reply;
   Clock::TimePoint m_followed_since;
-  std::map<std::string, Clock::TimePoint> m_asked_in_vain;
+  std::map<std::string, Clock::TimePoint> m_failed_at;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/leader_tracker_test.cc
+++ b/modules/coordination/mesh/leader_tracker_test.cc
@@ -29,7 +29,7 @@
   milliseconds asked{0};
   while (tracker.is_following() && asked < milliseconds(5000)) {
     const std::string node = tracker.address();
-    CHECK_FALSE(tracker.MayBePromised(node));
+    CHECK_FALSE(tracker.IsConfirmedLeader(node));
     tracker.OnNotLeading(node, node == "a" ? "b" : "a");
     clock.Advance(kStep);
     asked += kStep;
@@ -40,48 +40,48 @@
 
 TEST_CASE_FIXTURE(Fixture, "a vote is only for one that answered as leader") {
   tracker.Follow("a");
-  CHECK_FALSE(tracker.MayBePromised("a"));
-  tracker.OnAnswered("a");
-  CHECK(tracker.MayBePromised("a"));
+  CHECK_FALSE(tracker.IsConfirmedLeader("a"));
+  tracker.OnLeaderReply("a");
+  CHECK(tracker.IsConfirmedLeader("a"));
   tracker.OnNotLeading("a", "b");
   CHECK(tracker.address() == "b");
-  CHECK_FALSE(tracker.MayBePromised("a"));
-  CHECK_FALSE(tracker.MayBePromised("b"));
+  CHECK_FALSE(tracker.IsConfirmedLeader("a"));
+  CHECK_FALSE(tracker.IsConfirmedLeader("b"));
 }
 
 TEST_CASE_FIXTURE(Fixture, "a leader that misses one answer is kept") {
   tracker.Follow("a");
-  CHECK_FALSE(tracker.OnUnanswered("a"));
-  tracker.OnAnswered("a");
-  CHECK_FALSE(tracker.OnUnanswered("a"));
-  CHECK(tracker.OnUnanswered("a"));
+  CHECK_FALSE(tracker.OnTimeout("a"));
+  tracker.OnLeaderReply("a");
+  CHECK_FALSE(tracker.OnTimeout("a"));
+  CHECK(tracker.OnTimeout("a"));
   CHECK_FALSE(tracker.is_following());
-  CHECK(tracker.WasAskedInVain("a"));
+  CHECK(tracker.HasRecentlyFailed("a"));
   clock.Advance(milliseconds(1501));
-  CHECK_FALSE(tracker.WasAskedInVain("a"));
+  CHECK_FALSE(tracker.HasRecentlyFailed("a"));
 }
 
 // A leader that was frozen for seconds wakes up and says hello as if nothing
 // had happened. A node that went on following it got no lease any more.
 TEST_CASE_FIXTURE(Fixture, "a deposed leader is not followed") {
   tracker.Follow("old");
-  tracker.OnAnswered("old");
+  tracker.OnLeaderReply("old");
   tracker.OnDeposed("other");
   CHECK(tracker.is_followed("old"));
   tracker.OnDeposed("old");
   CHECK_FALSE(tracker.is_following());
-  CHECK(tracker.WasAskedInVain("old"));
+  CHECK(tracker.HasRecentlyFailed("old"));
 }
 
 TEST_CASE_FIXTURE(Fixture, "late news of another node change nothing") {
   tracker.Follow("a");
-  CHECK_FALSE(tracker.OnUnanswered("b"));
-  CHECK_FALSE(tracker.OnUnanswered("b"));
+  CHECK_FALSE(tracker.OnTimeout("b"));
+  CHECK_FALSE(tracker.OnTimeout("b"));
   tracker.OnNotLeading("b", "c");
   CHECK(tracker.address() == "a");
-  tracker.OnRefused("b");
+  tracker.OnConnectionRefused("b");
   CHECK(tracker.address() == "a");
-  tracker.OnRefused("a");
+  tracker.OnConnectionRefused("a");
   CHECK_FALSE(tracker.is_following());
 }
 
@@ -89,9 +89,9 @@
   tracker.Follow("a");
   clock.Advance(milliseconds(500));
   tracker.OnNotLeading("a", "");
-  CHECK(tracker.TimeWithoutLeader() == milliseconds(500));
-  tracker.OnAnswered("a");
-  CHECK(tracker.TimeWithoutLeader() == milliseconds(0));
+  CHECK(tracker.TimeSinceLeaderReply() == milliseconds(500));
+  tracker.OnLeaderReply("a");
+  CHECK(tracker.TimeSinceLeaderReply() == milliseconds(0));
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/leadership_lease.h
+++ b/modules/coordination/mesh/leadership_lease.h
@@ -26,24 +26,25 @@
 
   void SetVoters(std::vector<std::string> voters);
   // Until SetVoters(), a majority of these is needed as well.
-  void SetNextVoters(std::vector<std::string> voters);
+  void SetPendingVoters(std::vector<std::string> voters);
 
   // `not_after`: the voter promised then or later.
   void OnPromise(const std::string& voter, Clock::TimePoint not_after);
-  void OnWithdrawn(const std::string& voter);
+  void OnPromiseWithdrawn(const std::string& voter);
 
   Clock::TimePoint ValidUntil() const;
   bool IsValid() const;
 
  private:
-  Clock::TimePoint MajorityUntil(const std::vector<std::string>& voters) const;
+  Clock::TimePoint MajorityValidUntil(
+      const std::vector<std::string>& voters) const;
 
   const Clock& m_clock;
-  const Clock::Duration m_length;
+  const Clock::Duration m_promise_validity;
   const std::string m_self;
   std::vector<std::string> m_voters;
-  std::vector<std::string> m_next_voters;
-  std::map<std::string, Clock::TimePoint> m_until;
+  std::vector<std::string> m_pending_voters;
+  std::map<std::string, Clock::TimePoint> m_promise_ends;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/leadership_lease_test.cc
+++ b/modules/coordination/mesh/leadership_lease_test.cc
@@ -49,12 +49,12 @@
   lease.SetVoters({"a", "b", "c"});
   lease.OnPromise("b", clock.Now());
   REQUIRE(lease.IsValid());
-  lease.SetNextVoters({"a", "x", "y", "z"});
+  lease.SetPendingVoters({"a", "x", "y", "z"});
   CHECK_FALSE(lease.IsValid());
   lease.OnPromise("x", clock.Now());
   lease.OnPromise("y", clock.Now());
   CHECK(lease.IsValid());
-  lease.OnWithdrawn("b");
+  lease.OnPromiseWithdrawn("b");
   CHECK_FALSE(lease.IsValid());
   lease.SetVoters({"a", "x", "y", "z"});
   CHECK(lease.IsValid());
--- a/modules/coordination/mesh/lease_length.h
+++ b/modules/coordination/mesh/lease_duration_controller.h
@@ -25,35 +25,37 @@
 // the record, and tell when that begins and when it took effect.
 //
 // Thread-confined, no input or output. Kin: MeshLeader, which grants.
-class LeaseLength {
+class LeaseDurationController {
  public:
   // `stored`: what the record says that this leader has claimed.
-  LeaseLength(const Clock& clock,
-              const MeshTiming& timing,
-              std::chrono::milliseconds stored);
+  LeaseDurationController(const Clock& clock,
+                          const MeshTiming& timing,
+                          std::chrono::milliseconds stored);
 
   // Mean time of a request at each target whose keys are given out.
-  void OnWork(std::vector<std::chrono::milliseconds> means);
+  void UpdateServiceTimes(std::vector<std::chrono::milliseconds> means);
 
-  std::chrono::milliseconds ToGrant() const;
+  std::chrono::milliseconds DurationToGrant() const;
   // What the record is to say: any lease lasts at most so long.
-  std::chrono::milliseconds ToStore() const;
-  void OnStoring(std::chrono::milliseconds longest) { m_storing = longest; }
-  void OnStored() { m_stored = m_storing; }
+  std::chrono::milliseconds DurationToStore() const;
+  void OnStoreStarted(std::chrono::milliseconds longest) {
+    m_pending_max = longest;
+  }
+  void OnStoreCompleted() { m_stored_max = m_pending_max; }
   // Any lease that may be in force lasts at most so long.
-  std::chrono::milliseconds Longest() const {
-    return std::max(m_stored, m_storing);
+  std::chrono::milliseconds MaxDurationInForce() const {
+    return std::max(m_stored_max, m_pending_max);
   }
 
  private:
   const Clock& m_clock;
   const MeshTiming m_timing;
-  std::chrono::milliseconds m_stored;
+  std::chrono::milliseconds m_stored_max;
   // On its way to the store: either of the two may be what the record says.
-  std::chrono::milliseconds m_storing;
-  std::chrono::milliseconds m_wanted;
+  std::chrono::milliseconds m_pending_max;
+  std::chrono::milliseconds m_desired;
   // Since when no longer lease than this is wanted.
-  Clock::TimePoint m_wanted_since;
+  Clock::TimePoint m_desired_since;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/lease_length_test.cc
+++ b/modules/coordination/mesh/lease_duration_controller_test.cc
@@ -1,4 +1,4 @@
-#include "modules/coordination/mesh/lease_length.h"
+#include "modules/coordination/mesh/lease_duration_controller.h"
 
 #include <doctest/doctest.h>
 
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "modules/coordination/manual_clock.h"
-#include "modules/coordination/mesh/hold_book.h"
+#include "modules/coordination/mesh/push_hold_tracker.h"
 #include "modules/coordination/testing/owned_runs.h"
 
 namespace citrongrade {
@@ -22,13 +22,13 @@
 
 struct Fixture {
   void Store() {
-    length.OnStoring(length.ToStore());
-    length.OnStored();
+    length.OnStoreStarted(length.DurationToStore());
+    length.OnStoreCompleted();
   }
 
   ManualClock clock;
   MeshTiming timing;
-  LeaseLength length{clock, timing, milliseconds(0)};
+  LeaseDurationController length{clock, timing, milliseconds(0)};
 };
 
 // A target whose node has renewed its lease by every heartbeat, and whose work
@@ -40,12 +40,12 @@
             std::log(static_cast<double>(mean.count())) - kSpread * kSpread / 2,
             kSpread) {
     m_clock.Advance(milliseconds(4000));
-    m_book.SetOwned({MakeOwnedRun(0, 9, 1)});
+    m_book.SetAssignments({MakeOwnedRun(0, 9, 1)});
   }
 
   // The part of runs, begun at any moment, that take longer than the target may
   // then still serve their key.
-  double PlayOutlasting(milliseconds lease) {
+  double FractionOutlastingHold(milliseconds lease) {
     int begun = 0;
     int outlasting = 0;
     Clock::TimePoint lease_until;
@@ -54,13 +54,13 @@
       m_clock.Advance(kTick);
       if (m_clock.Now() >= next_heartbeat) {
         lease_until = m_clock.Now() + lease;
-        next_heartbeat = m_clock.Now() + MeshTiming().heartbeat;
+        next_heartbeat = m_clock.Now() + MeshTiming().heartbeat_interval;
       }
-      for (const HoldBook::Grant& grant : m_book.DueGrants(lease_until))
+      for (const PushHoldTracker::Grant& grant : m_book.DueGrants(lease_until))
         m_book.OnGranted(grant.id);
       const std::chrono::duration<double, std::milli> work(m_work(m_random));
       ++begun;
-      outlasting += work > m_book.HoldLeft(5) ? 1 : 0;
+      outlasting += work > m_book.RemainingHold(5) ? 1 : 0;
     }
     return static_cast<double>(outlasting) / begun;
   }
@@ -69,7 +69,7 @@
   static constexpr double kSpread = 0.8;
 
   ManualClock m_clock;
-  HoldBook m_book{m_clock};
+  PushHoldTracker m_book{m_clock};
   std::mt19937_64 m_random{kSeed};
   std::lognormal_distribution<> m_work;
 };
@@ -77,76 +77,79 @@
 }  // namespace
 
 TEST_CASE_FIXTURE(Fixture, "short work leaves leases as short as they may be") {
-  length.OnWork({milliseconds(120), milliseconds(150), milliseconds(190)});
-  CHECK(length.ToStore() == timing.lease);
-  CHECK(length.ToGrant() == timing.lease);
+  length.UpdateServiceTimes(
+      {milliseconds(120), milliseconds(150), milliseconds(190)});
+  CHECK(length.DurationToStore() == timing.min_lease);
+  CHECK(length.DurationToGrant() == timing.min_lease);
 }
 
 // Guards against work that is lost because its target's hold ends before it.
 TEST_CASE_FIXTURE(Fixture, "few runs of long work outlast their hold") {
   constexpr milliseconds kMean{550};
-  CHECK(BusyTarget(kMean).PlayOutlasting(timing.lease) > 0.1);
-  length.OnWork({kMean});
+  CHECK(BusyTarget(kMean).FractionOutlastingHold(timing.min_lease) > 0.1);
+  length.UpdateServiceTimes({kMean});
   Store();
-  CHECK(BusyTarget(kMean).PlayOutlasting(length.ToGrant()) < 0.04);
+  CHECK(BusyTarget(kMean).FractionOutlastingHold(length.DurationToGrant()) <
+        0.04);
 }
 
 // Guards against keys that are unserved for long after the loss of a node.
 TEST_CASE_FIXTURE(Fixture, "no work makes leases longer than their bound") {
-  length.OnWork({milliseconds(5000)});
+  length.UpdateServiceTimes({milliseconds(5000)});
   Store();
-  CHECK(length.ToGrant() == timing.longest_lease);
+  CHECK(length.DurationToGrant() == timing.max_lease);
 }
 
 // Guards against a later leader that takes a longer lease for ended.
 TEST_CASE_FIXTURE(Fixture, "a longer lease is granted once it is stored") {
-  length.OnWork({milliseconds(500)});
-  CHECK(length.ToGrant() == timing.lease);
-  const milliseconds longer = length.ToStore();
-  CHECK(longer > timing.lease);
-  length.OnStoring(longer);
-  CHECK(length.ToGrant() == timing.lease);
-  CHECK(length.Longest() == longer);
-  length.OnStored();
-  CHECK(length.ToGrant() == longer);
+  length.UpdateServiceTimes({milliseconds(500)});
+  CHECK(length.DurationToGrant() == timing.min_lease);
+  const milliseconds longer = length.DurationToStore();
+  CHECK(longer > timing.min_lease);
+  length.OnStoreStarted(longer);
+  CHECK(length.DurationToGrant() == timing.min_lease);
+  CHECK(length.MaxDurationInForce() == longer);
+  length.OnStoreCompleted();
+  CHECK(length.DurationToGrant() == longer);
 }
 
 TEST_CASE_FIXTURE(Fixture,
                   "a leader starts with the leases of the one before") {
-  const LeaseLength next(clock, timing, milliseconds(2800));
-  CHECK(next.Longest() == milliseconds(2800));
-  CHECK(next.ToStore() == milliseconds(2800));
+  const LeaseDurationController next(clock, timing, milliseconds(2800));
+  CHECK(next.MaxDurationInForce() == milliseconds(2800));
+  CHECK(next.DurationToStore() == milliseconds(2800));
 }
 
 // Guards against a record that names shorter leases than are in force.
 TEST_CASE_FIXTURE(Fixture, "shorter leases are stored when longer ones ended") {
-  length.OnWork({milliseconds(500)});
+  length.UpdateServiceTimes({milliseconds(500)});
   Store();
-  const milliseconds longer = length.Longest();
-  length.OnWork({milliseconds(100)});
-  CHECK(length.ToGrant() == timing.lease);
+  const milliseconds longer = length.MaxDurationInForce();
+  length.UpdateServiceTimes({milliseconds(100)});
+  CHECK(length.DurationToGrant() == timing.min_lease);
   clock.Advance(longer);
-  CHECK(length.ToStore() == longer);
-  clock.Advance(timing.drift + milliseconds(1));
-  CHECK(length.ToStore() == timing.lease);
+  CHECK(length.DurationToStore() == longer);
+  clock.Advance(timing.max_clock_drift + milliseconds(1));
+  CHECK(length.DurationToStore() == timing.min_lease);
 }
 
 // The same, when work takes long again while the record is being written.
 TEST_CASE_FIXTURE(Fixture,
                   "no lease is longer than the record under way says") {
-  length.OnWork({milliseconds(500)});
+  length.UpdateServiceTimes({milliseconds(500)});
   Store();
-  length.OnWork({milliseconds(100)});
+  length.UpdateServiceTimes({milliseconds(100)});
   clock.Advance(milliseconds(4000));
-  length.OnStoring(length.ToStore());
-  length.OnWork({milliseconds(500)});
-  CHECK(length.ToGrant() == timing.lease);
+  length.OnStoreStarted(length.DurationToStore());
+  length.UpdateServiceTimes({milliseconds(500)});
+  CHECK(length.DurationToGrant() == timing.min_lease);
 }
 
 TEST_CASE_FIXTURE(Fixture, "a few slow targets don't lengthen all leases") {
-  length.OnWork({milliseconds(120), milliseconds(130), milliseconds(140),
-                 milliseconds(900), milliseconds(900)});
-  CHECK(length.ToStore() == timing.lease);
+  length.UpdateServiceTimes({milliseconds(120), milliseconds(130),
+                             milliseconds(140), milliseconds(900),
+                             milliseconds(900)});
+  CHECK(length.DurationToStore() == timing.min_lease);
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/mesh_leader.cc
+++ b/modules/coordination/mesh/mesh_leader.cc
@@ -9,33 +9,35 @@
 namespace {
 
 // Until a target has shown how long it takes.
-constexpr double kAssumedWorkSeconds = 0.15;
+constexpr double kDefaultServiceTimeSeconds = 0.15;
 // A target that is still slow after its start does so much.
-constexpr double kColdCapacity = 0.5;
+constexpr double kColdCapacityFactor = 0.5;
 // Crashes are told to every node once; older ones are known by then.
-constexpr std::size_t kMaxSuspects = 1024;
+constexpr std::size_t kMaxCrashSuspects = 1024;
 // A node that is to read the store has its first answer within this.
-constexpr std::chrono::milliseconds kReaderTrial{600};
+constexpr std::chrono::milliseconds kStoreReaderTimeout{600};
 // After so many in a row without an answer, those on weak hosts are tried too.
-constexpr unsigned kVainFitReaders = 6;
+constexpr unsigned kMaxFailedFitReaders = 6;
 // Moves that are over stand in the record as if they still went on for at most
 // this long. Each is then asked for again by the next leader: an order more. To
 // store each at once would double the writes.
-constexpr std::chrono::milliseconds kMovesUnmarked{1000};
+constexpr std::chrono::milliseconds kMaxCompletedMoveDelay{1000};
 // A leader gives way to a host that is so many times as fit.
-constexpr std::uint32_t kFitter = 2;
+constexpr std::uint32_t kMinFitnessRatio = 2;
 // And no sooner than this: longer than a lease, so that what the change of
 // leader before left to be done is done, and whoever is named has stayed.
-constexpr std::chrono::milliseconds kBeforeGivingWay{3000};
+constexpr std::chrono::milliseconds kMinLeaderTenure{3000};
 // Keys stay where they are until most nodes have had time to report.
-constexpr std::chrono::milliseconds kFirstReports{700};
+constexpr std::chrono::milliseconds kFirstHeartbeatsDelay{700};
 
 double CapacityOf(const Heartbeat& last) {
-  const double work =
-      last.mean_work_us > 0 ? last.mean_work_us / 1e6 : kAssumedWorkSeconds;
-  const double slots = std::max<std::uint32_t>(1, last.target.slots);
+  const double work = last.mean_service_time_us > 0
+                          ? last.mean_service_time_us / 1e6
+                          : kDefaultServiceTimeSeconds;
+  const double slots = std::max<std::uint32_t>(1, last.target.concurrency);
   const double capacity = slots / work;
-  return last.target.cold_ms > 0 ? capacity * kColdCapacity : capacity;
+  return last.target.warm_up_left_ms > 0 ? capacity * kColdCapacityFactor
+                                         : capacity;
 }
 
 }  // namespace
@@ -49,27 +51,32 @@
       m_timing(timing),
       m_self(self),
       m_nonce(nonce),
-      m_started(clock.Now()),
+      m_leading_since(clock.Now()),
       m_is_new_mesh(claimed.tables.empty()),
-      m_stored(claimed),
-      m_lease(clock, timing.promise, timing.drift, self),
-      m_lease_length(clock, timing, claimed.longest_lease),
-      m_earlier_ended(clock.Now() + m_lease_length.Longest() + timing.drift),
+      m_stored_record(claimed),
+      m_leadership_lease(clock,
+                         timing.vote_duration,
+                         timing.max_clock_drift,
+                         self),
+      m_lease_duration(clock, timing, claimed.max_lease),
+      m_previous_leases_end(clock.Now() +
+                            m_lease_duration.MaxDurationInForce() +
+                            timing.max_clock_drift),
       m_assigner(claimed.epoch, claimed.tables),
-      m_round_began(clock.Now()) {
-  m_lease.SetVoters(claimed.voters);
+      m_round_started(clock.Now()) {
+  m_leadership_lease.SetVoters(claimed.voters);
   m_view.BeginEpoch(claimed.epoch);
   for (const auto& [service, table] : claimed.tables)
     m_view.SetTable(service, table);
 }
 
-void MeshLeader::SetDividedServices(const std::set<std::string>& services) {
+void MeshLeader::SetShardedServices(const std::set<std::string>& services) {
   for (const std::string& service : services)
     m_assigner.AddService(service);
 }
 
 void MeshLeader::OnVote(const std::string& voter, Clock::TimePoint asked) {
-  m_lease.OnPromise(voter, asked);
+  m_leadership_lease.OnPromise(voter, asked);
 }
 
 void MeshLeader::OnHeartbeat(const Heartbeat& heartbeat) {
@@ -77,62 +84,65 @@
   const auto [found, is_new] = m_nodes.try_emplace(heartbeat.address);
   Node& node = found->second;
   const bool is_restart =
-      !is_new && node.last.incarnation != heartbeat.incarnation;
+      !is_new && node.last_heartbeat.incarnation != heartbeat.incarnation;
   // A heartbeat that was overtaken says what is no longer so.
-  if (!is_new && !is_restart && heartbeat.sequence <= node.last.sequence)
+  if (!is_new && !is_restart &&
+      heartbeat.sequence <= node.last_heartbeat.sequence)
     return;
   if (is_new || is_restart) {
     node.first_heard = now;
-    node.suspects_seen = 0;
+    node.crash_suspects_sent = 0;
     node.has_promised = false;
   }
-  node.heard = now;
-  if (heartbeat.promises && heartbeat.leader_nonce == m_nonce) {
+  node.last_heard = now;
+  if (heartbeat.is_vote_promised && heartbeat.leader_nonce == m_nonce) {
     const Clock::TimePoint stamp{
         std::chrono::nanoseconds(heartbeat.leader_stamp_ns)};
     if (stamp <= now) {
-      m_lease.OnPromise(heartbeat.address, stamp);
+      m_leadership_lease.OnPromise(heartbeat.address, stamp);
       node.has_promised = true;
     }
   }
-  m_assigner.CountArrivals(heartbeat.target.service, heartbeat.arrivals);
-  for (const Heartbeat::Released& released : heartbeat.released) {
+  m_assigner.AddRequestCounts(heartbeat.target.service,
+                              heartbeat.slot_request_counts);
+  for (const Heartbeat::ReleasedRange& released : heartbeat.released) {
     if (HasAuthority())
       m_assigner.OnReleased(heartbeat.address, released);
   }
   for (const std::uint64_t suspect : heartbeat.crash_suspects) {
-    if (m_crash_suspects.size() < kMaxSuspects)
+    if (m_crash_suspects.size() < kMaxCrashSuspects)
       m_crash_suspects.push_back(suspect);
   }
-  node.last = heartbeat;
+  node.last_heartbeat = heartbeat;
   PublishMember(node);
-  PublishWithdrawals();
+  PublishBeforeStore();
 }
 
-void MeshLeader::PublishWithdrawals() {
+void MeshLeader::PublishBeforeStore() {
   for (const KeyAssigner::Change& change : m_assigner.TakeWithdrawals())
-    m_view.Assign(change.service, change.run);
+    m_view.Assign(change.service, change.assignment);
   for (const KeyAssigner::Change& change : m_assigner.TakeCompletedMoves()) {
-    if (!IsStoredMove(change))
+    if (!IsNextOwnerStored(change))
       continue;
-    PublishStored(change);
-    if (m_published_early++ == 0)
-      m_first_published_early = m_clock.Now();
+    PublishAssignment(change);
+    if (m_published_unstored++ == 0)
+      m_first_published_unstored = m_clock.Now();
   }
 }
 
-bool MeshLeader::IsStoredMove(const KeyAssigner::Change& change) const {
-  const auto table = m_stored.tables.find(change.service);
-  if (table == m_stored.tables.end())
+bool MeshLeader::IsNextOwnerStored(const KeyAssigner::Change& change) const {
+  const auto table = m_stored_record.tables.find(change.service);
+  if (table == m_stored_record.tables.end())
     return false;
-  const OwnedRun& now = change.run;
-  const NextOwner next{now.owner, now.life, now.fence};
-  const auto stored = table->second.RunsIn(now.range);
-  return std::all_of(stored.begin(), stored.end(),
-                     [&next](const OwnedRun& run) { return run.next == next; });
+  const SlotAssignment& now = change.assignment;
+  const NextOwner next{now.owner, now.incarnation, now.fence};
+  const auto stored = table->second.AssignmentsIn(now.range);
+  return std::all_of(
+      stored.begin(), stored.end(),
+      [&next](const SlotAssignment& run) { return run.next == next; });
 }
 
-bool MeshLeader::ReadsStore(const std::string& address) const {
+bool MeshLeader::IsStoreReader(const std::string& address) const {
   return std::any_of(m_store_readers.begin(), m_store_readers.end(),
                      [&address](const StoreReader& reader) {
                        return reader.address == address;
@@ -144,34 +154,35 @@
   for (StoreReader& reader : m_store_readers) {
     const auto current = m_nodes.find(reader.address);
     const bool is_there =
-        current != m_nodes.end() && !IsSilent(current->second);
-    if (is_there && current->second.last.store_answers) {
-      m_vain_readers = 0;
+        current != m_nodes.end() && !IsTimedOut(current->second);
+    if (is_there && current->second.last_heartbeat.is_store_answering) {
+      m_failed_reader_choices = 0;
       continue;
     }
-    if (is_there && now - reader.since < kReaderTrial)
+    if (is_there && now - reader.since < kStoreReaderTimeout)
       continue;
-    const std::string next = FindStoreReader(reader.address);
+    const std::string next = NextStoreReader(reader.address);
     if (next.empty())
       continue;
     reader = {next, now};
-    ++m_vain_readers;
+    ++m_failed_reader_choices;
   }
 }
 
-std::string MeshLeader::FindStoreReader(const std::string& previous) const {
+std::string MeshLeader::NextStoreReader(const std::string& previous) const {
   const auto is_eligible = [&](const auto& entry) {
     return entry.first != m_self && entry.first != previous &&
-           !IsSilent(entry.second) && !entry.second.last.is_leaving &&
-           !ReadsStore(entry.first);
+           !IsTimedOut(entry.second) &&
+           !entry.second.last_heartbeat.is_leaving &&
+           !IsStoreReader(entry.first);
   };
   // A long document takes a weak host's link and loop for most of a second.
   std::uint32_t least_merit = 0;
-  if (m_vain_readers < kVainFitReaders) {
+  if (m_failed_reader_choices < kMaxFailedFitReaders) {
     for (const auto& entry : m_nodes) {
       if (is_eligible(entry))
-        least_merit =
-            std::max(least_merit, entry.second.last.leader_merit_milli);
+        least_merit = std::max(
+            least_merit, entry.second.last_heartbeat.leader_fitness_milli);
     }
   }
   auto next = m_nodes.upper_bound(previous);
@@ -179,7 +190,7 @@
     if (next == m_nodes.end())
       next = m_nodes.begin();
     if (is_eligible(*next) &&
-        next->second.last.leader_merit_milli >= least_merit)
+        next->second.last_heartbeat.leader_fitness_milli >= least_merit)
       return next->first;
   }
   return {};
@@ -194,8 +205,8 @@
   reply.is_leader = true;
   const Clock::TimePoint now = m_clock.Now();
   reply.nonce = m_nonce;
-  reply.longest_lease_ms =
-      static_cast<std::uint32_t>(m_lease_length.Longest().count());
+  reply.max_lease_ms =
+      static_cast<std::uint32_t>(m_lease_duration.MaxDurationInForce().count());
   reply.stamp_ns = std::chrono::nanoseconds(now.time_since_epoch()).count();
   reply.view = m_view.ChangesSince(heartbeat.epoch, heartbeat.view_version,
                                    heartbeat.address);
@@ -203,93 +214,96 @@
   if (found == m_nodes.end() || !HasAuthority())
     return reply;
   Node& node = found->second;
-  const std::chrono::milliseconds lease = m_lease_length.ToGrant();
+  const std::chrono::milliseconds lease = m_lease_duration.DurationToGrant();
   reply.lease_ms = static_cast<std::uint32_t>(lease.count());
   // An earlier one may have been longer.
-  node.lease_until = std::max(node.lease_until, now + lease + m_timing.drift);
-  reply.follow_store = ReadsStore(heartbeat.address);
+  node.lease_until =
+      std::max(node.lease_until, now + lease + m_timing.max_clock_drift);
+  reply.reads_store = IsStoreReader(heartbeat.address);
   reply.crash_suspects.assign(
       m_crash_suspects.begin() +
-          static_cast<std::ptrdiff_t>(node.suspects_seen),
+          static_cast<std::ptrdiff_t>(node.crash_suspects_sent),
       m_crash_suspects.end());
-  node.suspects_seen = m_crash_suspects.size();
+  node.crash_suspects_sent = m_crash_suspects.size();
   return reply;
 }
 
-bool MeshLeader::HasNewsFor(const Heartbeat& heartbeat) const {
+bool MeshLeader::NeedsImmediateReply(const Heartbeat& heartbeat) const {
   if (m_has_resigned || heartbeat.is_urgent ||
       heartbeat.epoch != m_view.epoch())
     return true;
   // What concerns the node itself can't wait for the next news for all.
-  const auto concerned = m_concerned.find(heartbeat.address);
-  return concerned != m_concerned.end() &&
+  const auto concerned = m_required_view_versions.find(heartbeat.address);
+  return concerned != m_required_view_versions.end() &&
          concerned->second > heartbeat.view_version;
 }
 
 bool MeshLeader::HasAuthority() const {
-  return !m_has_resigned && m_lease.IsValid();
+  return !m_has_resigned && m_leadership_lease.IsValid();
 }
 
-bool MeshLeader::IsSilent(const Node& node) const {
-  return m_clock.Now() - node.heard > m_timing.silence;
+bool MeshLeader::IsTimedOut(const Node& node) const {
+  return m_clock.Now() - node.last_heard > m_timing.member_timeout;
 }
 
 MeshMember::State MeshLeader::StateOf(const Node& node) const {
-  if (IsSilent(node))
+  if (IsTimedOut(node))
     return MeshMember::State::kAbsent;
-  switch (node.last.target.state) {
-    case Heartbeat::TargetState::kUnheard:
+  switch (node.last_heartbeat.target.state) {
+    case Heartbeat::TargetState::kUnknown:
     case Heartbeat::TargetState::kGone:
       return MeshMember::State::kAbsent;
     case Heartbeat::TargetState::kDraining:
       return MeshMember::State::kDraining;
     case Heartbeat::TargetState::kServing:
-      return node.last.is_leaving ? MeshMember::State::kDraining
-                                  : MeshMember::State::kServing;
+      return node.last_heartbeat.is_leaving ? MeshMember::State::kDraining
+                                            : MeshMember::State::kServing;
   }
   return MeshMember::State::kAbsent;
 }
 
 void MeshLeader::PublishMember(const Node& node) {
   MeshMember member;
-  member.address = node.last.address;
-  member.data_address = node.last.data_address;
-  member.zone = node.last.zone;
-  member.service = node.last.target.service;
-  member.target = node.last.target.life;
-  member.slots = node.last.target.slots;
+  member.address = node.last_heartbeat.address;
+  member.data_address = node.last_heartbeat.data_address;
+  member.zone = node.last_heartbeat.zone;
+  member.service = node.last_heartbeat.target.service;
+  member.target = node.last_heartbeat.target.incarnation;
+  member.concurrency = node.last_heartbeat.target.concurrency;
   member.state = StateOf(node);
-  member.leader_merit_milli = node.last.leader_merit_milli;
+  member.leader_fitness_milli = node.last_heartbeat.leader_fitness_milli;
   m_view.SetMember(member);
 }
 
-bool MeshLeader::IsLost(const OwnedRun& run) const {
+bool MeshLeader::HasOwnershipExpired(const SlotAssignment& run) const {
   const Clock::TimePoint now = m_clock.Now();
   const auto found = m_nodes.find(run.owner);
   // The leader before may have granted it a lease up to the very end.
   if (found == m_nodes.end())
-    return now > m_earlier_ended;
+    return now > m_previous_leases_end;
   const Node& node = found->second;
-  switch (node.last.target.state) {
-    case Heartbeat::TargetState::kUnheard:
+  switch (node.last_heartbeat.target.state) {
+    case Heartbeat::TargetState::kUnknown:
       // Its process is new: what an earlier one granted runs out meanwhile.
-      return now > m_earlier_ended &&
-             now - node.first_heard > m_lease_length.Longest() + m_timing.drift;
+      return now > m_previous_leases_end &&
+             now - node.first_heard > m_lease_duration.MaxDurationInForce() +
+                                          m_timing.max_clock_drift;
     case Heartbeat::TargetState::kGone:
       return true;
     case Heartbeat::TargetState::kServing:
     case Heartbeat::TargetState::kDraining:
-      if (node.last.target.life != run.life)
+      if (node.last_heartbeat.target.incarnation != run.incarnation)
         return true;
-      return now > std::max(node.lease_until, m_earlier_ended) &&
-             IsSilent(node);
+      return now > std::max(node.lease_until, m_previous_leases_end) &&
+             IsTimedOut(node);
   }
   return false;
 }
 
-bool MeshLeader::IsSettled() const {
-  const Clock::Duration wait = m_is_new_mesh ? m_timing.settle : kFirstReports;
-  return m_clock.Now() > m_started + wait;
+bool MeshLeader::IsPlacementAllowed() const {
+  const Clock::Duration wait =
+      m_is_new_mesh ? m_timing.initial_placement_delay : kFirstHeartbeatsDelay;
+  return m_clock.Now() > m_leading_since + wait;
 }
 
 std::vector<KeyAssigner::Member> MeshLeader::AssignableMembers() const {
@@ -300,11 +314,11 @@
       continue;
     KeyAssigner::Member member;
     member.address = address;
-    member.service = node.last.target.service;
-    member.life = node.last.target.life;
+    member.service = node.last_heartbeat.target.service;
+    member.incarnation = node.last_heartbeat.target.incarnation;
     member.may_receive = state == MeshMember::State::kServing;
-    member.must_give = state == MeshMember::State::kDraining;
-    member.capacity = CapacityOf(node.last);
+    member.must_drain = state == MeshMember::State::kDraining;
+    member.capacity = CapacityOf(node.last_heartbeat);
     members.push_back(member);
   }
   return members;
@@ -316,114 +330,118 @@
   ChooseStoreReaders();
   if (!HasAuthority())
     return;
-  MoveKeys();
-  PublishWithdrawals();
+  UpdateAssignments();
+  PublishBeforeStore();
 }
 
-void MeshLeader::MoveKeys() {
+void MeshLeader::UpdateAssignments() {
   m_assigner.SetMembers(AssignableMembers());
-  m_assigner.FreeLost([this](const OwnedRun& run) { return IsLost(run); });
-  if (!IsSettled())
+  m_assigner.UnassignLostOwners(
+      [this](const SlotAssignment& run) { return HasOwnershipExpired(run); });
+  if (!IsPlacementAllowed())
     return;
-  m_assigner.PlaceUnowned();
-  m_assigner.OrderDrains();
-  const Clock::Duration round = m_clock.Now() - m_round_began;
-  if (round < KeyBalancer::kRound)
+  m_assigner.AssignUnowned();
+  m_assigner.PlanDrains();
+  const Clock::Duration round = m_clock.Now() - m_round_started;
+  if (round < KeyBalancer::kRoundInterval)
     return;
-  m_round_began = m_clock.Now();
-  m_lease_length.OnWork(MeanWorkOfOwners());
-  m_assigner.EndRound(std::chrono::duration<double>(round).count());
+  m_round_started = m_clock.Now();
+  m_lease_duration.UpdateServiceTimes(MeanServiceTimes());
+  m_assigner.EndMeasurementRound(std::chrono::duration<double>(round).count());
   // Keys that are given back can't be given on while the store is away: they
   // would be nobody's until it is back.
   const auto self = m_nodes.find(m_self);
-  if (self != m_nodes.end() && self->second.last.store_answers)
-    m_assigner.OrderBalance();
+  if (self != m_nodes.end() && self->second.last_heartbeat.is_store_answering)
+    m_assigner.PlanRebalancing();
 }
 
-std::vector<std::chrono::milliseconds> MeshLeader::MeanWorkOfOwners() const {
+std::vector<std::chrono::milliseconds> MeshLeader::MeanServiceTimes() const {
   std::vector<std::chrono::milliseconds> means;
   for (const auto& [address, node] : m_nodes) {
     const bool has_keys =
-        m_assigner.tables().contains(node.last.target.service);
-    if (has_keys && node.last.mean_work_us > 0 && !IsSilent(node)) {
+        m_assigner.tables().contains(node.last_heartbeat.target.service);
+    if (has_keys && node.last_heartbeat.mean_service_time_us > 0 &&
+        !IsTimedOut(node)) {
       means.push_back(std::chrono::ceil<std::chrono::milliseconds>(
-          std::chrono::microseconds(node.last.mean_work_us)));
+          std::chrono::microseconds(node.last_heartbeat.mean_service_time_us)));
     }
   }
   return means;
 }
 
-std::vector<std::string> MeshLeader::WantedVoters() const {
+std::vector<std::string> MeshLeader::DesiredVoters() const {
   std::set<std::string> wanted{m_self};
   const Clock::TimePoint now = m_clock.Now();
   // One that has just started promises nothing yet: with it, half of the votes
   // of a young mesh would be missing.
   for (const auto& [address, node] : m_nodes) {
-    if (now - node.heard < m_timing.voter_silence && node.has_promised)
+    if (now - node.last_heard < m_timing.voter_timeout && node.has_promised)
       wanted.insert(address);
   }
-  for (const std::string& voter : m_stored.voters) {
+  for (const std::string& voter : m_stored_record.voters) {
     const auto found = m_nodes.find(voter);
     if (found != m_nodes.end() &&
-        now - found->second.heard < m_timing.voter_silence)
+        now - found->second.last_heard < m_timing.voter_timeout)
       wanted.insert(voter);
   }
-  for (const std::string& voter : m_stored.voters) {
-    if (!m_nodes.contains(voter) && now - m_started < m_timing.voter_silence)
+  for (const std::string& voter : m_stored_record.voters) {
+    if (!m_nodes.contains(voter) &&
+        now - m_leading_since < m_timing.voter_timeout)
       wanted.insert(voter);
   }
   return {wanted.begin(), wanted.end()};
 }
 
-bool MeshLeader::MustStoreChanges() const {
-  if (m_assigner.change_count() > m_published_early)
+bool MeshLeader::NeedsStore() const {
+  if (m_assigner.change_count() > m_published_unstored)
     return true;
-  return m_published_early > 0 &&
-         m_clock.Now() - m_first_published_early > kMovesUnmarked;
+  return m_published_unstored > 0 &&
+         m_clock.Now() - m_first_published_unstored > kMaxCompletedMoveDelay;
 }
 
 std::optional<MeshRecord> MeshLeader::RecordToStore() {
-  if (m_storing || !HasAuthority())
+  if (m_pending_record || !HasAuthority())
     return std::nullopt;
-  std::vector<std::string> voters = WantedVoters();
-  const std::chrono::milliseconds longest_lease = m_lease_length.ToStore();
-  if (!MustStoreChanges() && voters == m_stored.voters &&
-      longest_lease == m_lease_length.Longest())
+  std::vector<std::string> voters = DesiredVoters();
+  const std::chrono::milliseconds longest_lease =
+      m_lease_duration.DurationToStore();
+  if (!NeedsStore() && voters == m_stored_record.voters &&
+      longest_lease == m_lease_duration.MaxDurationInForce())
     return std::nullopt;
-  m_lease_length.OnStoring(longest_lease);
-  m_published_early = 0;
-  m_storing_changes = m_assigner.TakeChanges();
-  m_storing = m_stored;
-  m_storing->tables = m_assigner.tables();
-  m_storing->longest_lease = longest_lease;
-  if (voters != m_stored.voters) {
-    m_lease.SetNextVoters(voters);
-    m_storing->voters = std::move(voters);
+  m_lease_duration.OnStoreStarted(longest_lease);
+  m_published_unstored = 0;
+  m_pending_changes = m_assigner.TakeChanges();
+  m_pending_record = m_stored_record;
+  m_pending_record->tables = m_assigner.tables();
+  m_pending_record->max_lease = longest_lease;
+  if (voters != m_stored_record.voters) {
+    m_leadership_lease.SetPendingVoters(voters);
+    m_pending_record->voters = std::move(voters);
   }
-  return m_storing;
+  return m_pending_record;
 }
 
 void MeshLeader::OnStored() {
   // The caller reports the end of a write that RecordToStore() did not begin.
-  if (!m_storing)
+  if (!m_pending_record)
     return;
-  m_stored = *std::exchange(m_storing, std::nullopt);
-  m_lease.SetVoters(m_stored.voters);
-  m_lease_length.OnStored();
-  for (const KeyAssigner::Change& change : std::exchange(m_storing_changes, {}))
-    PublishStored(change);
+  m_stored_record = *std::exchange(m_pending_record, std::nullopt);
+  m_leadership_lease.SetVoters(m_stored_record.voters);
+  m_lease_duration.OnStoreCompleted();
+  for (const KeyAssigner::Change& change : std::exchange(m_pending_changes, {}))
+    PublishAssignment(change);
 }
 
-void MeshLeader::PublishStored(const KeyAssigner::Change& change) {
+void MeshLeader::PublishAssignment(const KeyAssigner::Change& change) {
   // Only what still stands: its owner may have been lost while it was being
   // stored, and would hold keys that the next change gives to another.
   const KeyTable& current = m_assigner.tables().at(change.service);
-  for (OwnedRun run : current.RunsIn(change.run.range)) {
-    if (!run.SameAssignment(change.run))
+  for (SlotAssignment run : current.AssignmentsIn(change.assignment.range)) {
+    if (!run.SameAssignment(change.assignment))
       continue;
-    run.range = run.range.CommonPart(change.run.range);
+    run.range = run.range.CommonPart(change.assignment.range);
     m_view.Assign(change.service, run);
-    m_concerned[run.owner] = m_view.version();
+    m_required_view_versions[run.owner] = m_view.version();
   }
 }
 
@@ -435,10 +453,11 @@
 const MeshLeader::Node* MeshLeader::FindBestSuccessor() const {
   const Node* best = nullptr;
   for (const auto& [address, node] : m_nodes) {
-    if (address == m_self || IsSilent(node) || node.last.is_leaving)
+    if (address == m_self || IsTimedOut(node) || node.last_heartbeat.is_leaving)
       continue;
     const auto merit = [](const Node& one) {
-      return std::pair(one.last.store_answers, one.last.leader_merit_milli);
+      return std::pair(one.last_heartbeat.is_store_answering,
+                       one.last_heartbeat.leader_fitness_milli);
     };
     if (best == nullptr || merit(node) > merit(*best))
       best = &node;
@@ -448,35 +467,38 @@
 
 std::string MeshLeader::FindSuccessor() const {
   const Node* best = FindBestSuccessor();
-  return best == nullptr ? std::string() : best->last.address;
+  return best == nullptr ? std::string() : best->last_heartbeat.address;
 }
 
-std::string MeshLeader::FindFitter() const {
+std::string MeshLeader::FindFitterLeader() const {
   const auto self = m_nodes.find(m_self);
   const Clock::TimePoint now = m_clock.Now();
-  const bool may_change = now - m_started > kBeforeGivingWay && !m_storing;
+  const bool may_change =
+      now - m_leading_since > kMinLeaderTenure && !m_pending_record;
   if (self == m_nodes.end() || !may_change || !HasAuthority())
     return {};
   const Node* best = FindBestSuccessor();
-  if (best == nullptr || !best->last.store_answers ||
-      now - best->first_heard < kBeforeGivingWay)
+  if (best == nullptr || !best->last_heartbeat.is_store_answering ||
+      now - best->first_heard < kMinLeaderTenure)
     return {};
-  const std::uint32_t own = self->second.last.leader_merit_milli;
-  const std::uint32_t others = best->last.leader_merit_milli;
-  const bool is_far_fitter = others > own && others >= kFitter * own;
-  return is_far_fitter ? best->last.address : std::string();
+  const std::uint32_t own = self->second.last_heartbeat.leader_fitness_milli;
+  const std::uint32_t others = best->last_heartbeat.leader_fitness_milli;
+  const bool is_far_fitter = others > own && others >= kMinFitnessRatio * own;
+  return is_far_fitter ? best->last_heartbeat.address : std::string();
 }
 
-bool MeshLeader::SuccessorHasStore() const {
+bool MeshLeader::CanSuccessorReachStore() const {
   const auto found = m_nodes.find(FindSuccessor());
-  return found != m_nodes.end() && found->second.last.store_answers;
+  return found != m_nodes.end() &&
+         found->second.last_heartbeat.is_store_answering;
 }
 
-std::vector<std::string> MeshLeader::MissingNodes() const {
+std::vector<std::string> MeshLeader::MissingVoters() const {
   std::vector<std::string> missing;
-  for (const std::string& voter : m_stored.voters) {
+  for (const std::string& voter : m_stored_record.voters) {
     const auto found = m_nodes.find(voter);
-    if (voter != m_self && (found == m_nodes.end() || IsSilent(found->second)))
+    if (voter != m_self &&
+        (found == m_nodes.end() || IsTimedOut(found->second)))
       missing.push_back(voter);
   }
   return missing;
--- a/modules/coordination/mesh/mesh_leader.h
+++ b/modules/coordination/mesh/mesh_leader.h
@@ -14,7 +14,7 @@
 #include "modules/coordination/mesh/heartbeat_reply.h"
 #include "modules/coordination/mesh/key_assigner.h"
 #include "modules/coordination/mesh/leadership_lease.h"
-#include "modules/coordination/mesh/lease_length.h"
+#include "modules/coordination/mesh/lease_duration_controller.h"
 #include "modules/coordination/mesh/mesh_timing.h"
 #include "modules/state/mesh/mesh_record.h"
 #include "modules/state/mesh/mesh_view.h"
@@ -44,14 +44,14 @@
              const MeshRecord& claimed);
 
   // Services whose keys are given out, from the operators' configuration.
-  void SetDividedServices(const std::set<std::string>& services);
+  void SetShardedServices(const std::set<std::string>& services);
 
   void OnVote(const std::string& voter, Clock::TimePoint asked);
   void OnHeartbeat(const Heartbeat& heartbeat);
   HeartbeatReply MakeReply(const Heartbeat& heartbeat);
   // Something that the node should hear at once: its own keys, an order. Other
   // news is told to all together, now and then.
-  bool HasNewsFor(const Heartbeat& heartbeat) const;
+  bool NeedsImmediateReply(const Heartbeat& heartbeat) const;
 
   void Tick();
 
@@ -68,72 +68,72 @@
   // Who would lead best after this node, one that the store answers if there
   // is any; empty when there is none.
   std::string FindSuccessor() const;
-  bool SuccessorHasStore() const;
+  bool CanSuccessorReachStore() const;
   // A node on a host that is far fitter to lead, and that has been there for a
   // while; empty when there is none. A weak host leads when it is the first to
   // be asked for its vote, after the loss of many: its processor, taken up by
   // the mesh, then serves nobody, and its answers come late.
-  std::string FindFitter() const;
+  std::string FindFitterLeader() const;
 
   const MeshView& view() const { return m_view; }
   // Members of the record that have not been heard of.
-  std::vector<std::string> MissingNodes() const;
+  std::vector<std::string> MissingVoters() const;
   std::size_t node_count() const { return m_nodes.size(); }
 
  private:
   struct Node {
-    Heartbeat last;
+    Heartbeat last_heartbeat;
     Clock::TimePoint first_heard;
-    Clock::TimePoint heard;
+    Clock::TimePoint last_heard;
     Clock::TimePoint lease_until;
-    std::size_t suspects_seen = 0;
+    std::size_t crash_suspects_sent = 0;
     bool has_promised = false;
   };
 
   const Node* FindBestSuccessor() const;
-  bool IsLost(const OwnedRun& run) const;
-  bool IsSilent(const Node& node) const;
+  bool HasOwnershipExpired(const SlotAssignment& run) const;
+  bool IsTimedOut(const Node& node) const;
   MeshMember::State StateOf(const Node& node) const;
   void PublishMember(const Node& node);
-  void PublishWithdrawals();
-  void PublishStored(const KeyAssigner::Change& change);
+  void PublishBeforeStore();
+  void PublishAssignment(const KeyAssigner::Change& change);
   // The stored record names the change's owner as the next one already.
-  bool IsStoredMove(const KeyAssigner::Change& change) const;
-  bool MustStoreChanges() const;
-  void MoveKeys();
+  bool IsNextOwnerStored(const KeyAssigner::Change& change) const;
+  bool NeedsStore() const;
+  void UpdateAssignments();
   // How long the work of targets with keys takes, by their last heartbeats.
-  std::vector<std::chrono::milliseconds> MeanWorkOfOwners() const;
+  std::vector<std::chrono::milliseconds> MeanServiceTimes() const;
   // Has other nodes read the store when those that should can't.
   void ChooseStoreReaders();
   // The next after `previous` on one of the fittest hosts; empty: there is
   // none.
-  std::string FindStoreReader(const std::string& previous) const;
-  bool ReadsStore(const std::string& address) const;
+  std::string NextStoreReader(const std::string& previous) const;
+  bool IsStoreReader(const std::string& address) const;
   std::vector<KeyAssigner::Member> AssignableMembers() const;
-  std::vector<std::string> WantedVoters() const;
-  bool IsSettled() const;
+  std::vector<std::string> DesiredVoters() const;
+  bool IsPlacementAllowed() const;
 
   const Clock& m_clock;
   const MeshTiming m_timing;
   const std::string m_self;
   const std::uint64_t m_nonce;
-  const Clock::TimePoint m_started;
+  const Clock::TimePoint m_leading_since;
   const bool m_is_new_mesh;
-  MeshRecord m_stored;
-  std::optional<MeshRecord> m_storing;
-  std::vector<KeyAssigner::Change> m_storing_changes;
+  MeshRecord m_stored_record;
+  std::optional<MeshRecord> m_pending_record;
+  std::vector<KeyAssigner::Change> m_pending_changes;
   // Changes that took effect before they are stored: see IsStoredMove().
-  std::size_t m_published_early = 0;
-  Clock::TimePoint m_first_published_early;
-  LeadershipLease m_lease;
+  std::size_t m_published_unstored = 0;
+  Clock::TimePoint m_first_published_unstored;
+  LeadershipLease m_leadership_lease;
   // Of the nodes' leases, by which their targets hold keys.
-  LeaseLength m_lease_length;
+  LeaseDurationController m_lease_duration;
   // A lease that a leader before granted has ended by then.
-  const Clock::TimePoint m_earlier_ended;
+  const Clock::TimePoint m_previous_leases_end;
   KeyAssigner m_assigner;
   MeshView m_view;
   std::map<std::string, Node> m_nodes;
-  Clock::TimePoint m_round_began;
+  Clock::TimePoint m_round_started;
   bool m_has_resigned = false;
   std::string m_successor;
   // Nodes that read the store beside this one, and since when. Two: with one,
@@ -145,10 +145,10 @@
   };
   std::array<StoreReader, 2> m_store_readers;
   // Named in a row since one of them had an answer.
-  unsigned m_vain_readers = 0;
+  unsigned m_failed_reader_choices = 0;
   std::vector<std::uint64_t> m_crash_suspects;
   // By node: the view version from which on it knows what concerns itself.
-  std::map<std::string, std::uint64_t> m_concerned;
+  std::map<std::string, std::uint64_t> m_required_view_versions;
 };
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/mesh_leader_test.cc
+++ b/modules/coordination/mesh/mesh_leader_test.cc
@@ -30,13 +30,14 @@
 
   void Lead(const MeshRecord& record) {
     leader = std::make_unique<MeshLeader>(clock, timing, "a", kNonce, record);
-    leader->SetDividedServices({"divided"});
+    leader->SetShardedServices({"divided"});
   }
 
   // Runs that the view tells their owner to give back.
-  std::vector<OwnedRun> MovingRunsOf(const std::string& address) const {
-    std::vector<OwnedRun> moving;
-    for (OwnedRun run : leader->view().FindTable("divided")->runs()) {
+  std::vector<SlotAssignment> MovingRunsOf(const std::string& address) const {
+    std::vector<SlotAssignment> moving;
+    for (SlotAssignment run :
+         leader->view().FindTable("divided")->assignments()) {
       run.version = 0;
       if (run.owner == address && run.is_moving())
         moving.push_back(run);
@@ -44,8 +45,9 @@
     return moving;
   }
 
-  void GiveBack(const std::string& address, const std::vector<OwnedRun>& runs) {
-    for (const OwnedRun& run : runs) {
+  void GiveBack(const std::string& address,
+                const std::vector<SlotAssignment>& runs) {
+    for (const SlotAssignment& run : runs) {
       Node(address).released.push_back(
           {"divided", run.range, run.fence, "token"});
     }
@@ -59,9 +61,9 @@
       heartbeat.data_address = "data-" + address;
       heartbeat.incarnation = 1;
       heartbeat.target.state = Heartbeat::TargetState::kServing;
-      heartbeat.target.life = {"t-" + address, 0};
+      heartbeat.target.incarnation = {"t-" + address, 0};
       heartbeat.target.service = "divided";
-      heartbeat.target.slots = 8;
+      heartbeat.target.concurrency = 8;
     }
     return heartbeat;
   }
@@ -71,13 +73,13 @@
     ++heartbeat.sequence;
     leader->OnHeartbeat(heartbeat);
     const HeartbeatReply reply = leader->MakeReply(heartbeat);
-    heartbeat.promises = true;
+    heartbeat.is_vote_promised = true;
     heartbeat.leader_nonce = reply.nonce;
     heartbeat.leader_stamp_ns = reply.stamp_ns;
     heartbeat.epoch = reply.view.epoch;
     heartbeat.view_version = reply.view.version;
     heartbeat.released.clear();
-    heartbeat.arrivals.clear();
+    heartbeat.slot_request_counts.clear();
     replies[address] = reply;
   }
 
@@ -136,7 +138,7 @@
   while (SlotsOf("b") > 0 && clock.Now() - last_beat < milliseconds(5000))
     Step(milliseconds(10), "b");
   const auto took = clock.Now() - last_beat;
-  CHECK(took > timing.lease);
+  CHECK(took > timing.min_lease);
   CHECK(took < milliseconds(2100));
 }
 
@@ -170,12 +172,12 @@
   Run(milliseconds(4000));
   const std::uint64_t fence =
       leader->view().FindTable("divided")->Find(0).fence;
-  Node("a").target.life = {"t-a", 99};
-  Node("b").target.life = {"t-b", 99};
+  Node("a").target.incarnation = {"t-a", 99};
+  Node("b").target.incarnation = {"t-b", 99};
   Run(milliseconds(500));
-  const OwnedRun& run = leader->view().FindTable("divided")->Find(0);
+  const SlotAssignment& run = leader->view().FindTable("divided")->Find(0);
   CHECK(run.has_owner());
-  CHECK(run.life.started_unix_ms == 99);
+  CHECK(run.incarnation.started_unix_ms == 99);
   CHECK(run.fence > fence);
 }
 
@@ -187,7 +189,7 @@
   Run(milliseconds(4000));
   Node("b").target.state = Heartbeat::TargetState::kDraining;
   Run(milliseconds(100));
-  const std::vector<OwnedRun> moving = MovingRunsOf("b");
+  const std::vector<SlotAssignment> moving = MovingRunsOf("b");
   REQUIRE_FALSE(moving.empty());
   GiveBack("b", moving);
   Run(milliseconds(100));
@@ -203,11 +205,11 @@
 // Guards against two holders of the keys of a node whose work takes long.
 TEST_CASE_FIXTURE(Fixture, "keys of a lost node wait for its longer lease") {
   for (const char* address : {"a", "b", "c"})
-    Node(address).mean_work_us = 500'000;
+    Node(address).mean_service_time_us = 500'000;
   Run(milliseconds(4000));
   REQUIRE(SlotsOf("b") > 0);
   const milliseconds lease(replies["b"].lease_ms);
-  REQUIRE(lease > timing.lease);
+  REQUIRE(lease > timing.min_lease);
   const Clock::TimePoint last_beat = clock.Now();
   while (SlotsOf("b") > 0 && clock.Now() - last_beat < milliseconds(5000))
     Step(milliseconds(10), "b");
@@ -219,7 +221,7 @@
 // Guards against the same when the leader is lost together with the node.
 TEST_CASE_FIXTURE(Fixture, "the next leader waits for the longer leases") {
   for (const char* address : {"a", "b", "c"})
-    Node(address).mean_work_us = 500'000;
+    Node(address).mean_service_time_us = 500'000;
   stores = false;
   MeshRecord stored;
   for (int i = 0; i < 80; ++i) {
@@ -230,8 +232,8 @@
     }
   }
   const milliseconds lease(replies["b"].lease_ms);
-  REQUIRE(lease > timing.lease);
-  REQUIRE(stored.longest_lease >= lease);
+  REQUIRE(lease > timing.min_lease);
+  REQUIRE(stored.max_lease >= lease);
   ++stored.epoch;
   Lead(stored);
   stores = true;
@@ -281,7 +283,7 @@
   const auto record = leader->RecordToStore();
   REQUIRE(record.has_value());
   leader->OnStored();
-  const std::vector<OwnedRun> moving = MovingRunsOf("b");
+  const std::vector<SlotAssignment> moving = MovingRunsOf("b");
   REQUIRE_FALSE(moving.empty());
   GiveBack("b", moving);
   Beat("b");
@@ -292,7 +294,7 @@
   GiveBack("b", moving);
   Run(milliseconds(50));
   const KeyTable* table = leader->view().FindTable("divided");
-  for (const OwnedRun& run : moving) {
+  for (const SlotAssignment& run : moving) {
     CHECK(table->Find(run.range.first).owner == run.next.address);
     CHECK(table->Find(run.range.first).fence == run.next.fence);
   }
@@ -342,31 +344,31 @@
     Node(address);
   Run(milliseconds(500));
   const auto reads = [this](const char* address) {
-    return replies[address].follow_store;
+    return replies[address].reads_store;
   };
   REQUIRE(reads("b"));
   REQUIRE(reads("c"));
   CHECK_FALSE(reads("d"));
-  Node("c").store_answers = true;
+  Node("c").is_store_answering = true;
   Run(milliseconds(400));
   CHECK_FALSE(reads("b"));
   CHECK(reads("c"));
   CHECK(reads("d"));
-  Node("d").store_answers = true;
+  Node("d").is_store_answering = true;
   Run(milliseconds(2000));
   CHECK(reads("c"));
   CHECK(reads("d"));
-  CHECK(leader->SuccessorHasStore());
+  CHECK(leader->CanSuccessorReachStore());
 }
 
 // Guards against a long configuration that takes a weak host's link and loop,
 // and against fit hosts that are all cut off from the store.
 TEST_CASE_FIXTURE(Fixture, "the fittest hosts read the store while they can") {
   for (const char* address : {"a", "b", "c", "d", "e"})
-    Node(address).leader_merit_milli = address[0] >= 'd' ? 1000 : 200;
+    Node(address).leader_fitness_milli = address[0] >= 'd' ? 1000 : 200;
   Run(milliseconds(500));
   const auto reads = [this](const char* address) {
-    return replies[address].follow_store;
+    return replies[address].reads_store;
   };
   CHECK(reads("d"));
   CHECK(reads("e"));
@@ -380,30 +382,30 @@
 
 TEST_CASE_FIXTURE(Fixture, "among equal hosts no leader gives way") {
   for (const char* address : {"a", "b", "c"})
-    Node(address).store_answers = true;
+    Node(address).is_store_answering = true;
   Run(milliseconds(8000));
   REQUIRE(leader->HasAuthority());
-  CHECK(leader->FindFitter().empty());
+  CHECK(leader->FindFitterLeader().empty());
 }
 
 // Many nodes are lost at once, and one on a weak host is elected. Those on fit
 // hosts come back, but it leads on with all of its processor, and nodes that
 // wait for its late answers take it for lost again and again.
 TEST_CASE_FIXTURE(Fixture, "a leader gives way to a host that is far fitter") {
-  Node("a").leader_merit_milli = 100;
-  Node("b").leader_merit_milli = 150;
-  Node("b").store_answers = true;
+  Node("a").leader_fitness_milli = 100;
+  Node("b").leader_fitness_milli = 150;
+  Node("b").is_store_answering = true;
   Run(milliseconds(4000));
-  CHECK(leader->FindFitter().empty());
-  Node("c").leader_merit_milli = 1000;
-  Node("c").store_answers = true;
+  CHECK(leader->FindFitterLeader().empty());
+  Node("c").leader_fitness_milli = 1000;
+  Node("c").is_store_answering = true;
   Run(milliseconds(2500));
-  CHECK(leader->FindFitter().empty());
+  CHECK(leader->FindFitterLeader().empty());
   Run(milliseconds(1000));
-  CHECK(leader->FindFitter() == "c");
-  Node("c").store_answers = false;
+  CHECK(leader->FindFitterLeader() == "c");
+  Node("c").is_store_answering = false;
   Run(milliseconds(100));
-  CHECK(leader->FindFitter().empty());
+  CHECK(leader->FindFitterLeader().empty());
 }
 
 TEST_CASE_FIXTURE(Fixture,
--- a/modules/coordination/mesh/ownership_model_test.cc
+++ b/modules/coordination/mesh/ownership_model_test.cc
@@ -15,9 +15,9 @@
 #include <vector>
 
 #include "modules/coordination/manual_clock.h"
-#include "modules/coordination/mesh/hold_book.h"
 #include "modules/coordination/mesh/mesh_leader.h"
-#include "modules/coordination/mesh/reported_holds.h"
+#include "modules/coordination/mesh/polling_hold_tracker.h"
+#include "modules/coordination/mesh/push_hold_tracker.h"
 #include "modules/coordination/mesh/vote_promise.h"
 
 // Random schedules of failures over the real leader, votes and hold books, with
@@ -37,10 +37,10 @@
 
 constexpr milliseconds kStep{10};
 constexpr std::size_t kNodes = 5;
-constexpr milliseconds kReportEvery{870};
-constexpr milliseconds kGivingBack{100};
+constexpr milliseconds kReportInterval{870};
+constexpr milliseconds kReleasePollInterval{100};
 // A target takes no answer that comes later than this after its report.
-constexpr milliseconds kGivenUp{1000};
+constexpr milliseconds kReplyTimeout{1000};
 // Checked slots: spread over the table, so that a step costs little.
 constexpr std::uint32_t kProbes = 64;
 
@@ -48,15 +48,15 @@
   MeshTiming timing;
   // Safeguards, to be switched off one at a time.
   bool abstains_after_start = true;
-  bool waits_for_unanswered = true;
-  bool claims_on_condition = true;
+  bool waits_for_unanswered_grants = true;
+  bool claims_conditionally = true;
   // A process that has just started votes only if it is shown that the last
   // leader's process is gone.
   bool checks_leader_is_gone = true;
   // What is played beside the failures: leaders that are replaced at once, and
   // work that takes long for a while, by which leases get longer.
   bool replaces_leaders = true;
-  bool changes_work = true;
+  bool varies_service_time = true;
   // A leader knows from the record how long the leases before it last.
   bool stores_lease_length = true;
   // Targets are granted keys in the answers to their reports.
@@ -72,7 +72,7 @@
     Clock::TimePoint until;
   };
 
-  void Grant(const HoldBook::Grant& grant,
+  void Grant(const PushHoldTracker::Grant& grant,
              Clock::TimePoint arrived,
              Clock::TimePoint now) {
     for (const Hold& hold : m_holds) {
@@ -116,35 +116,35 @@
 
   // What it says of itself: what it holds or still works on, and what it has
   // given back since the last answer that it got.
-  ReportedHolds::Report Report(Clock::TimePoint now) {
-    ReportedHolds::Report report;
+  PollingHoldTracker::Report Report(Clock::TimePoint now) {
+    PollingHoldTracker::Report report;
     for (const Hold& hold : m_holds)
       report.held.push_back({hold.range, hold.fence});
-    for (auto it = m_giving.begin(); it != m_giving.end();) {
+    for (auto it = m_releasing.begin(); it != m_releasing.end();) {
       if (now < it->until) {
         report.held.push_back({it->range, it->fence});
         ++it;
         continue;
       }
-      m_freed.push_back({it->range, "h"});
-      it = m_giving.erase(it);
+      m_released.push_back({it->range, "h"});
+      it = m_releasing.erase(it);
     }
-    report.freed = m_freed;
+    report.released = m_released;
     return report;
   }
 
   // The answer to a report that was sent at `sent`. `work`: how long it still
   // works on what it is to give back.
-  void Take(const ReportedHolds::Statement& statement,
-            std::size_t freed_told,
-            Clock::TimePoint sent,
-            Clock::TimePoint now,
-            milliseconds work) {
-    m_freed.erase(m_freed.begin(),
-                  m_freed.begin() + static_cast<std::ptrdiff_t>(
-                                        std::min(freed_told, m_freed.size())));
+  void ApplyReply(const PollingHoldTracker::GrantReply& statement,
+                  std::size_t freed_told,
+                  Clock::TimePoint sent,
+                  Clock::TimePoint now,
+                  milliseconds work) {
+    m_released.erase(m_released.begin(),
+                     m_released.begin() + static_cast<std::ptrdiff_t>(std::min(
+                                              freed_told, m_released.size())));
     const std::vector<Hold> before = std::exchange(m_holds, {});
-    for (const ReportedHolds::Row& row : statement.rows) {
+    for (const PollingHoldTracker::GrantedRange& row : statement.ranges) {
       const bool is_refused =
           std::any_of(before.begin(), before.end(), [&row](const Hold& hold) {
             return hold.range.Overlaps(row.range) && hold.fence > row.fence;
@@ -157,14 +157,14 @@
         m_holds.push_back({row.range, row.fence, until});
     }
     for (const Hold& old : before)
-      GiveBackRest(old, now + work);
+      ReleaseUnnamed(old, now + work);
   }
 
-  bool IsGivingBack() const { return !m_giving.empty(); }
+  bool IsReleasing() const { return !m_releasing.empty(); }
 
  private:
   // What no row of the last statement names of a hold before it.
-  void GiveBackRest(const Hold& old, Clock::TimePoint ends) {
+  void ReleaseUnnamed(const Hold& old, Clock::TimePoint ends) {
     std::uint32_t next = old.range.first;
     std::vector<SlotRange> named;
     for (const Hold& hold : m_holds) {
@@ -175,15 +175,15 @@
     named.push_back({old.range.last + 1, old.range.last + 1});
     for (const SlotRange& range : named) {
       if (next < range.first)
-        m_giving.push_back({{next, range.first - 1}, old.fence, ends});
+        m_releasing.push_back({{next, range.first - 1}, old.fence, ends});
       next = std::max(next, range.last + 1);
     }
   }
 
   std::vector<Hold> m_holds;
   // Work still runs on them until then.
-  std::vector<Hold> m_giving;
-  std::vector<ReportedHolds::Freed> m_freed;
+  std::vector<Hold> m_releasing;
+  std::vector<PollingHoldTracker::ReleasedRange> m_released;
 };
 
 struct FakeStore {
@@ -198,18 +198,19 @@
   explicit Node(const Clock& clock, const Options& options)
       : promise(clock,
                 options.abstains_after_start
-                    ? Clock::Duration(options.timing.promise)
+                    ? Clock::Duration(options.timing.vote_duration)
                     : Clock::Duration(0)),
         ordered(clock),
-        reported(clock, options.timing.lease),
-        book(options.grants_by_report ? static_cast<TargetHolds&>(reported)
-                                      : static_cast<TargetHolds&>(ordered)) {}
+        reported(clock, options.timing.min_lease),
+        book(options.grants_by_report
+                 ? static_cast<TargetHoldTracker&>(reported)
+                 : static_cast<TargetHoldTracker&>(ordered)) {}
 
   VotePromise promise;
-  HoldBook ordered;
-  ReportedHolds reported;
+  PushHoldTracker ordered;
+  PollingHoldTracker reported;
   // The one of the two that is in use.
-  TargetHolds& book;
+  TargetHoldTracker& book;
   // Of the last report of its target.
   std::uint64_t report_number = 0;
   MeshView view;
@@ -230,19 +231,19 @@
   bool is_claiming = false;
 };
 
-struct Late {
+struct DelayedEvent {
   Clock::TimePoint at;
   std::function<void()> deliver;
 };
 
-class Model {
+class OwnershipModel {
  public:
-  Model(std::uint64_t seed, const Options& options)
+  OwnershipModel(std::uint64_t seed, const Options& options)
       : m_options(options), m_random(seed) {
     for (std::size_t i = 0; i < kNodes; ++i)
-      Start(i);
+      StartNode(i);
     m_frozen_until.resize(kNodes);
-    m_cut_until.resize(kNodes);
+    m_partitioned_until.resize(kNodes);
     m_down_until.resize(kNodes);
   }
 
@@ -253,42 +254,42 @@
     for (milliseconds t{0}; t < duration; t += kStep) {
       m_clock.Advance(kStep);
       if (t > milliseconds(6000))
-        Trouble();
-      Deliver();
+        InjectFaults();
+      RunDueEvents();
       for (std::size_t i = 0; i < kNodes; ++i)
         StepNode(i);
-      violations +=
-          Check() && HasOneLeader() && !std::exchange(m_took_old_token, false)
-              ? 0
-              : 1;
-      m_served += Serves(0) ? 1 : 0;
+      violations += HasNoDoubleHold() && HasOneLeader() &&
+                            !std::exchange(m_has_stale_fence, false)
+                        ? 0
+                        : 1;
+      m_served_steps += IsServed(0) ? 1 : 0;
     }
     return violations;
   }
 
-  int served_steps() const { return m_served; }
+  int served_steps() const { return m_served_steps; }
 
  private:
-  static std::string Name(std::size_t index) {
+  static std::string AddressOf(std::size_t index) {
     return "10.0.0." + std::to_string(index) + ":1";
   }
   static std::size_t IndexOf(const std::string& name) {
     return static_cast<std::size_t>(name[7] - '0');
   }
-  bool Chance(double probability) {
+  bool RandomBool(double probability) {
     return std::uniform_real_distribution<>(0, 1)(m_random) < probability;
   }
-  milliseconds Between(int least, int most) {
+  milliseconds RandomDuration(int least, int most) {
     return milliseconds(std::uniform_int_distribution<>(least, most)(m_random));
   }
 
-  void Start(std::size_t i) {
+  void StartNode(std::size_t i) {
     auto node = std::make_unique<Node>(m_clock, m_options);
     node->incarnation = ++m_incarnations;
     node->leader_answered = m_clock.Now();
     if (m_nodes.size() <= i)
       m_nodes.resize(kNodes), m_targets.resize(kNodes),
-          m_lives.resize(kNodes, 1);
+          m_target_incarnations.resize(kNodes, 1);
     m_nodes[i] = std::move(node);
   }
 
@@ -296,66 +297,67 @@
     return m_nodes[i] != nullptr && m_clock.Now() >= m_frozen_until[i];
   }
   bool Reaches(std::size_t a, std::size_t b) const {
-    return m_clock.Now() >= m_cut_until[a] && m_clock.Now() >= m_cut_until[b];
+    return m_clock.Now() >= m_partitioned_until[a] &&
+           m_clock.Now() >= m_partitioned_until[b];
   }
   // Node `from` sees that no process is there.
   bool RefusesConnections(std::size_t to, std::size_t from) const {
     return m_nodes[to] == nullptr && Reaches(from, to);
   }
   bool StoreAnswers(std::size_t i) const {
-    return !m_store.is_down && m_clock.Now() >= m_cut_until[i];
+    return !m_store.is_down && m_clock.Now() >= m_partitioned_until[i];
   }
 
-  void Trouble() {
+  void InjectFaults() {
     const Clock::TimePoint now = m_clock.Now();
     for (std::size_t i = 0; i < kNodes; ++i) {
       if (m_nodes[i] == nullptr && now >= m_down_until[i])
-        Start(i);
-      if (Chance(0.0008)) {
+        StartNode(i);
+      if (RandomBool(0.0008)) {
         m_nodes[i] = nullptr;
-        m_down_until[i] = now + Between(200, 4000);
+        m_down_until[i] = now + RandomDuration(200, 4000);
       }
-      if (Chance(0.0006))
-        m_frozen_until[i] = now + Between(200, 5000);
-      if (Chance(0.0006))
-        m_cut_until[i] = now + Between(500, 8000);
-      if (Chance(0.0004)) {
+      if (RandomBool(0.0006))
+        m_frozen_until[i] = now + RandomDuration(200, 5000);
+      if (RandomBool(0.0006))
+        m_partitioned_until[i] = now + RandomDuration(500, 8000);
+      if (RandomBool(0.0004)) {
         // Its target crashes and is back at once, holding nothing.
         m_targets[i] = FakeTarget();
-        ++m_lives[i];
+        ++m_target_incarnations[i];
         if (m_nodes[i])
           m_nodes[i]->book.Clear();
       }
     }
-    if (Chance(0.0003)) {
+    if (RandomBool(0.0003)) {
       for (auto& node : m_nodes)
         node = nullptr;
       for (auto& until : m_down_until)
-        until = now + Between(200, 2500);
+        until = now + RandomDuration(200, 2500);
     }
-    if (Chance(0.0004)) {
+    if (RandomBool(0.0004)) {
       // A majority starts anew, and the others are cut off from it: a leader
       // among these counts on votes that nobody remembers.
       const std::size_t first = m_random() % kNodes;
       for (std::size_t k = 0; k < kNodes; ++k) {
         const std::size_t i = (first + k) % kNodes;
         if (k > kNodes / 2) {
-          m_cut_until[i] = now + Between(500, 4000);
+          m_partitioned_until[i] = now + RandomDuration(500, 4000);
           continue;
         }
         m_nodes[i] = nullptr;
-        m_down_until[i] = now + Between(20, 300);
+        m_down_until[i] = now + RandomDuration(20, 300);
       }
     }
-    if (m_options.replaces_leaders && Chance(0.0003))
+    if (m_options.replaces_leaders && RandomBool(0.0003))
       ReplaceLeader();
-    if (m_options.changes_work && Chance(0.002)) {
+    if (m_options.varies_service_time && RandomBool(0.002)) {
       constexpr std::array<std::uint32_t, 4> kWorkUs{0, 150'000, 400'000,
                                                      900'000};
       m_work_us = kWorkUs[m_random() % kWorkUs.size()];
     }
-    if (Chance(0.0005))
-      m_store_down_until = now + Between(500, 9000);
+    if (RandomBool(0.0005))
+      m_store_down_until = now + RandomDuration(500, 9000);
     m_store.is_down = now < m_store_down_until;
   }
 
@@ -367,52 +369,54 @@
       if (m_nodes[i] == nullptr || !m_nodes[i]->leading)
         continue;
       m_nodes[i] = nullptr;
-      m_down_until[i] = now + Between(300, 1500);
-      m_cut_until[(i + 1) % kNodes] = now + Between(2500, 5000);
+      m_down_until[i] = now + RandomDuration(300, 1500);
+      m_partitioned_until[(i + 1) % kNodes] = now + RandomDuration(2500, 5000);
     }
   }
 
-  void Later(milliseconds delay, std::function<void()> deliver) {
-    m_late.push_back({m_clock.Now() + delay, std::move(deliver)});
+  void Schedule(milliseconds delay, std::function<void()> deliver) {
+    m_delayed_events.push_back({m_clock.Now() + delay, std::move(deliver)});
   }
 
-  void Deliver() {
-    std::vector<Late> due;
-    for (auto it = m_late.begin(); it != m_late.end();) {
+  void RunDueEvents() {
+    std::vector<DelayedEvent> due;
+    for (auto it = m_delayed_events.begin(); it != m_delayed_events.end();) {
       if (it->at > m_clock.Now()) {
         ++it;
         continue;
       }
       due.push_back(std::move(*it));
-      it = m_late.erase(it);
+      it = m_delayed_events.erase(it);
     }
-    for (const Late& late : due)
+    for (const DelayedEvent& late : due)
       late.deliver();
   }
 
   Heartbeat Compose(std::size_t i, bool promises) {
     Node& node = *m_nodes[i];
     Heartbeat heartbeat;
-    heartbeat.address = Name(i);
+    heartbeat.address = AddressOf(i);
     heartbeat.incarnation = node.incarnation;
     heartbeat.sequence = ++node.sequence;
-    heartbeat.promises = promises;
-    heartbeat.store_answers = StoreAnswers(i);
+    heartbeat.is_vote_promised = promises;
+    heartbeat.is_store_answering = StoreAnswers(i);
     heartbeat.leader_nonce = node.leader_nonce;
     heartbeat.leader_stamp_ns = node.leader_stamp_ns;
     heartbeat.epoch = node.view.epoch();
     heartbeat.view_version = node.view.version();
     heartbeat.target.state = Heartbeat::TargetState::kServing;
-    heartbeat.target.life = {"t" + std::to_string(i), m_lives[i]};
+    heartbeat.target.incarnation = {"t" + std::to_string(i),
+                                    m_target_incarnations[i]};
     heartbeat.target.service = "divided";
-    heartbeat.target.slots = 8;
-    heartbeat.mean_work_us = m_work_us;
-    for (const TargetHolds::ReturnedRange& range : node.book.Returned())
+    heartbeat.target.concurrency = 8;
+    heartbeat.mean_service_time_us = m_work_us;
+    for (const TargetHoldTracker::ReturnedRange& range :
+         node.book.ReturnedRanges())
       heartbeat.released.push_back(
           {"divided", range.range, range.fence, range.handover});
-    if (Chance(0.3)) {
+    if (RandomBool(0.3)) {
       const auto slot = static_cast<std::uint32_t>(m_random() % kSlotCount);
-      heartbeat.arrivals.push_back({slot, 40});
+      heartbeat.slot_request_counts.push_back({slot, 40});
     }
     return heartbeat;
   }
@@ -430,7 +434,7 @@
     node.leader_nonce = reply.nonce;
     node.leader_stamp_ns = reply.stamp_ns;
     node.view.Apply(reply.view);
-    node.book.SetLongestLease(milliseconds(reply.longest_lease_ms));
+    node.book.SetMaxLease(milliseconds(reply.max_lease_ms));
     if (reply.lease_ms > 0)
       node.lease_until =
           std::max(node.lease_until, sent + milliseconds(reply.lease_ms));
@@ -438,16 +442,17 @@
   }
 
   void Own(std::size_t i) {
-    std::vector<OwnedRun> owned;
+    std::vector<SlotAssignment> owned;
     const KeyTable* table = m_nodes[i]->view.FindTable("divided");
-    const TargetLife life{"t" + std::to_string(i), m_lives[i]};
+    const TargetIncarnation life{"t" + std::to_string(i),
+                                 m_target_incarnations[i]};
     if (table != nullptr) {
-      for (const OwnedRun& run : table->runs()) {
-        if (run.owner == Name(i) && run.life == life)
+      for (const SlotAssignment& run : table->assignments()) {
+        if (run.owner == AddressOf(i) && run.incarnation == life)
           owned.push_back(run);
       }
     }
-    m_nodes[i]->book.SetOwned(owned);
+    m_nodes[i]->book.SetAssignments(owned);
   }
 
   void StepNode(std::size_t i) {
@@ -457,9 +462,9 @@
       return;
     Node& node = *m_nodes[i];
     if (node.leading)
-      Lead(i);
+      StepLeader(i);
     else if (m_clock.Now() >= node.next_beat)
-      Follow(i);
+      StepFollower(i);
     if (m_nodes[i] && !m_options.grants_by_report)
       SendOrders(i);
   }
@@ -469,15 +474,16 @@
     const Clock::TimePoint now = m_clock.Now();
     if (!m_options.grants_by_report || now < m_next_report[i])
       return;
-    m_next_report[i] =
-        now + (m_targets[i].IsGivingBack() ? kGivingBack : kReportEvery);
-    const std::uint64_t number = ++m_reports[i];
-    const std::int64_t life = m_lives[i];
-    const ReportedHolds::Report report = m_targets[i].Report(now);
+    m_next_report[i] = now + (m_targets[i].IsReleasing() ? kReleasePollInterval
+                                                         : kReportInterval);
+    const std::uint64_t number = ++m_report_numbers[i];
+    const std::int64_t life = m_target_incarnations[i];
+    const PollingHoldTracker::Report report = m_targets[i].Report(now);
     const milliseconds there =
-        Chance(0.03) ? Between(300, 3000) : Between(0, 5);
-    Later(there, [this, i, life, number, report, now] {
-      if (!IsUp(i) || m_lives[i] != life || number <= m_nodes[i]->report_number)
+        RandomBool(0.03) ? RandomDuration(300, 3000) : RandomDuration(0, 5);
+    Schedule(there, [this, i, life, number, report, now] {
+      if (!IsUp(i) || m_target_incarnations[i] != life ||
+          number <= m_nodes[i]->report_number)
         return;
       OnReport(i, number, report, now);
     });
@@ -485,52 +491,55 @@
 
   void OnReport(std::size_t i,
                 std::uint64_t number,
-                const ReportedHolds::Report& report,
+                const PollingHoldTracker::Report& report,
                 Clock::TimePoint sent) {
     Node& node = *m_nodes[i];
     node.report_number = number;
     node.reported.OnReport(report);
     const Clock::TimePoint arrived = m_clock.Now();
     const std::uint64_t incarnation = node.incarnation;
-    const std::int64_t life = m_lives[i];
-    const std::size_t freed = report.freed.size();
+    const std::int64_t life = m_target_incarnations[i];
+    const std::size_t freed = report.released.size();
     // The answer waits for news.
-    Later(Between(0, 600),
-          [this, i, incarnation, life, number, arrived, sent, freed] {
-            if (!IsUp(i) || m_nodes[i]->incarnation != incarnation ||
-                m_nodes[i]->report_number != number || m_lives[i] != life)
-              return;
-            const auto statement = m_nodes[i]->reported.MakeStatement(
-                arrived, m_nodes[i]->lease_until);
-            if (statement && !Chance(0.08))
-              Answer(i, life, number, *statement, freed, sent);
-          });
-  }
-
-  void Answer(std::size_t i,
-              std::int64_t life,
-              std::uint64_t number,
-              const ReportedHolds::Statement& statement,
-              std::size_t freed,
-              Clock::TimePoint sent) {
-    const milliseconds back = Chance(0.03) ? Between(50, 1500) : Between(0, 5);
-    Later(back, [this, i, life, number, statement, freed, sent] {
+    Schedule(RandomDuration(0, 600),
+             [this, i, incarnation, life, number, arrived, sent, freed] {
+               if (!IsUp(i) || m_nodes[i]->incarnation != incarnation ||
+                   m_nodes[i]->report_number != number ||
+                   m_target_incarnations[i] != life)
+                 return;
+               const auto statement = m_nodes[i]->reported.MakeGrantReply(
+                   arrived, m_nodes[i]->lease_until);
+               if (statement && !RandomBool(0.08))
+                 DeliverReply(i, life, number, *statement, freed, sent);
+             });
+  }
+
+  void DeliverReply(std::size_t i,
+                    std::int64_t life,
+                    std::uint64_t number,
+                    const PollingHoldTracker::GrantReply& statement,
+                    std::size_t freed,
+                    Clock::TimePoint sent) {
+    const milliseconds back =
+        RandomBool(0.03) ? RandomDuration(50, 1500) : RandomDuration(0, 5);
+    Schedule(back, [this, i, life, number, statement, freed, sent] {
       // Given up by the target, or overtaken by its next report.
-      if (m_lives[i] != life || m_reports[i] != number ||
-          m_clock.Now() - sent > kGivenUp)
+      if (m_target_incarnations[i] != life || m_report_numbers[i] != number ||
+          m_clock.Now() - sent > kReplyTimeout)
         return;
-      for (const ReportedHolds::Row& row : statement.rows)
-        CheckToken(i, row.range, row.fence);
-      m_targets[i].Take(statement, freed, sent, m_clock.Now(), Between(0, 400));
+      for (const PollingHoldTracker::GrantedRange& row : statement.ranges)
+        CheckFence(i, row.range, row.fence);
+      m_targets[i].ApplyReply(statement, freed, sent, m_clock.Now(),
+                              RandomDuration(0, 400));
     });
   }
 
-  void Follow(std::size_t i) {
+  void StepFollower(std::size_t i) {
     Node& node = *m_nodes[i];
-    node.next_beat = m_clock.Now() + m_options.timing.heartbeat;
+    node.next_beat = m_clock.Now() + m_options.timing.heartbeat_interval;
     if (m_options.replaces_leaders && !node.leader.empty() &&
         RefusesConnections(IndexOf(node.leader), i)) {
-      node.promise.GiveBack(node.leader);
+      node.promise.Release(node.leader);
       node.leader.clear();
     }
     if (node.leader.empty() ||
@@ -539,22 +548,22 @@
       return;
     }
     const std::size_t to = IndexOf(node.leader);
-    const bool promises = node.promise.Grant(node.leader);
+    const bool promises = node.promise.Promise(node.leader);
     const Clock::TimePoint sent = m_clock.Now();
     const std::uint64_t incarnation = node.incarnation;
     Heartbeat heartbeat = Compose(i, promises);
-    if (!Reaches(i, to) || Chance(0.02))
+    if (!Reaches(i, to) || RandomBool(0.02))
       return;
     const milliseconds there =
-        Chance(0.03) ? Between(100, 900) : Between(1, 15);
-    Later(there, [this, i, to, sent, incarnation, heartbeat] {
+        RandomBool(0.03) ? RandomDuration(100, 900) : RandomDuration(1, 15);
+    Schedule(there, [this, i, to, sent, incarnation, heartbeat] {
       if (!IsUp(to) || !m_nodes[to]->leading)
         return;
       m_nodes[to]->leading->OnHeartbeat(heartbeat);
       const HeartbeatReply reply = m_nodes[to]->leading->MakeReply(heartbeat);
       const milliseconds back =
-          Chance(0.03) ? Between(100, 900) : Between(1, 15);
-      Later(back, [this, i, incarnation, reply, sent] {
+          RandomBool(0.03) ? RandomDuration(100, 900) : RandomDuration(1, 15);
+      Schedule(back, [this, i, incarnation, reply, sent] {
         OnReply(i, incarnation, reply, sent);
       });
     });
@@ -567,7 +576,7 @@
       return;
     if (!m_store.record) {
       MeshRecord record;
-      record.voters = {Name(i)};
+      record.voters = {AddressOf(i)};
       Claim(i, record, m_store.end, {});
       return;
     }
@@ -582,28 +591,29 @@
     }
     const bool is_gone =
         IsGone(i, named, m_store.claimer) || !m_options.checks_leader_is_gone;
-    if (node.is_claiming || !Chance(0.3) ||
-        !node.promise.Grant(Name(i), is_gone))
+    if (node.is_claiming || !RandomBool(0.3) ||
+        !node.promise.Promise(AddressOf(i), is_gone))
       return;
     std::set<std::string> votes;
     const Clock::TimePoint asked = m_clock.Now();
     for (const std::string& voter : record.voters) {
       const std::size_t v = IndexOf(voter);
       if (v == i || (IsUp(v) && Reaches(i, v) && !m_nodes[v]->leading &&
-                     m_nodes[v]->promise.Grant(Name(i), is_gone)))
+                     m_nodes[v]->promise.Promise(AddressOf(i), is_gone)))
         votes.insert(voter);
     }
     if (votes.size() < record.voters.size() / 2 + 1) {
       for (const std::string& voter : votes) {
         if (m_nodes[IndexOf(voter)])
-          m_nodes[IndexOf(voter)]->promise.GiveBack(Name(i));
+          m_nodes[IndexOf(voter)]->promise.Release(AddressOf(i));
       }
       return;
     }
     // The claim may be slow: others may have claimed meanwhile.
     const std::uint64_t incarnation = node.incarnation;
     node.is_claiming = true;
-    Later(Between(1, 300), [this, i, incarnation, record, end, votes, asked] {
+    Schedule(RandomDuration(1, 300), [this, i, incarnation, record, end, votes,
+                                      asked] {
       if (m_nodes[i] == nullptr || m_nodes[i]->incarnation != incarnation)
         return;
       m_nodes[i]->is_claiming = false;
@@ -632,25 +642,25 @@
              MeshRecord record,
              std::uint64_t end,
              const std::set<std::string>& /*votes*/) {
-    if (m_options.claims_on_condition && end != m_store.end)
+    if (m_options.claims_conditionally && end != m_store.end)
       return;
     ++record.epoch;
-    record.leader = Name(i);
+    record.leader = AddressOf(i);
     if (!m_options.stores_lease_length)
-      record.longest_lease = milliseconds(0);
+      record.max_lease = milliseconds(0);
     m_store.record = record;
     m_store.claimer = m_nodes[i]->incarnation;
     m_nodes[i]->record_end = ++m_store.end;
     m_nodes[i]->leading = std::make_shared<MeshLeader>(
-        m_clock, m_options.timing, Name(i), ++m_incarnations, record);
-    m_nodes[i]->leading->SetDividedServices({"divided"});
+        m_clock, m_options.timing, AddressOf(i), ++m_incarnations, record);
+    m_nodes[i]->leading->SetShardedServices({"divided"});
     m_nodes[i]->leader_answered = m_clock.Now();
     m_nodes[i]->writing.reset();
   }
 
-  void Lead(std::size_t i) {
+  void StepLeader(std::size_t i) {
     Node& node = *m_nodes[i];
-    node.promise.Grant(Name(i));
+    node.promise.Promise(AddressOf(i));
     const Heartbeat heartbeat = Compose(i, false);
     node.leading->OnHeartbeat(heartbeat);
     node.leading->Tick();
@@ -660,18 +670,18 @@
     OnReply(i, node.incarnation, leading->MakeReply(heartbeat), m_clock.Now());
     if (m_clock.Now() - node.leader_answered > milliseconds(1500)) {
       node.leading.reset();
-      node.promise.GiveBack(Name(i));
+      node.promise.Release(AddressOf(i));
       return;
     }
-    Store(i);
+    StepStoreWrite(i);
   }
 
-  void Store(std::size_t i) {
+  void StepStoreWrite(std::size_t i) {
     const auto leading = m_nodes[i]->leading;
     std::optional<MeshRecord>& writing = m_nodes[i]->writing;
     if (auto record = leading->RecordToStore())
       writing = *record;
-    if (!writing || !StoreAnswers(i) || Chance(0.5))
+    if (!writing || !StoreAnswers(i) || RandomBool(0.5))
       return;
     if (m_store.end != m_nodes[i]->record_end) {
       // Somebody else has claimed the mesh.
@@ -685,44 +695,44 @@
 
   void SendOrders(std::size_t i) {
     Node& node = *m_nodes[i];
-    for (const HoldBook::Grant& grant :
+    for (const PushHoldTracker::Grant& grant :
          node.ordered.DueGrants(node.lease_until)) {
-      if (Chance(0.05)) {
+      if (RandomBool(0.05)) {
         // Left without an answer, and carried out late.
         const Clock::TimePoint arrived = m_clock.Now();
-        const std::int64_t life = m_lives[i];
-        Later(Between(500, 4000), [this, i, grant, arrived, life] {
-          if (m_lives[i] == life)
+        const std::int64_t life = m_target_incarnations[i];
+        Schedule(RandomDuration(500, 4000), [this, i, grant, arrived, life] {
+          if (m_target_incarnations[i] == life)
             m_targets[i].Grant(grant, arrived, m_clock.Now());
         });
-        if (m_options.waits_for_unanswered)
+        if (m_options.waits_for_unanswered_grants)
           node.ordered.OnGrantUnanswered(grant.id);
         else
           node.ordered.OnGranted(grant.id);
         continue;
       }
       m_targets[i].Grant(grant, m_clock.Now(), m_clock.Now());
-      CheckToken(i, grant.range, grant.fence);
+      CheckFence(i, grant.range, grant.fence);
       node.ordered.OnGranted(grant.id);
     }
-    for (const HoldBook::Release& release : node.ordered.DueReleases()) {
+    for (const PushHoldTracker::Release& release : node.ordered.DueReleases()) {
       m_targets[i].Release(release.range);
-      if (Chance(0.05))
+      if (RandomBool(0.05))
         node.ordered.OnReleaseUnanswered(release.id);
       else
         node.ordered.OnReleased(release.id, "h");
     }
   }
 
-  void CheckToken(std::size_t i, const SlotRange& range, std::uint64_t fence) {
+  void CheckFence(std::size_t i, const SlotRange& range, std::uint64_t fence) {
     for (std::uint32_t probe = 0; probe < kProbes; ++probe) {
       if (!range.Contains(SlotOfProbe(probe)))
         continue;
       for (std::size_t other = 0; other < kNodes; ++other) {
-        if (other != i && m_tokens[probe][other] >= fence)
-          m_took_old_token = true;
+        if (other != i && m_highest_fences[probe][other] >= fence)
+          m_has_stale_fence = true;
       }
-      m_tokens[probe][i] = std::max(m_tokens[probe][i], fence);
+      m_highest_fences[probe][i] = std::max(m_highest_fences[probe][i], fence);
     }
   }
 
@@ -730,7 +740,7 @@
     return probe * (kSlotCount / kProbes) + probe;
   }
 
-  bool Check() const {
+  bool HasNoDoubleHold() const {
     for (std::uint32_t probe = 0; probe < kProbes; ++probe) {
       const std::uint32_t slot = SlotOfProbe(probe);
       int holders = 0;
@@ -753,7 +763,7 @@
     return leaders <= 1;
   }
 
-  bool Serves(std::uint32_t slot) const {
+  bool IsServed(std::uint32_t slot) const {
     for (std::size_t i = 0; i < kNodes; ++i) {
       if (IsUp(i) && m_nodes[i]->book.MayServe(slot))
         return true;
@@ -767,26 +777,26 @@
   std::uint64_t m_incarnations = 0;
   std::vector<std::unique_ptr<Node>> m_nodes;
   std::vector<FakeTarget> m_targets;
-  std::vector<std::int64_t> m_lives;
+  std::vector<std::int64_t> m_target_incarnations;
   std::vector<Clock::TimePoint> m_frozen_until;
-  std::vector<Clock::TimePoint> m_cut_until;
+  std::vector<Clock::TimePoint> m_partitioned_until;
   std::vector<Clock::TimePoint> m_down_until;
   std::array<Clock::TimePoint, kNodes> m_next_report{};
-  std::array<std::uint64_t, kNodes> m_reports{};
+  std::array<std::uint64_t, kNodes> m_report_numbers{};
   FakeStore m_store;
   Clock::TimePoint m_store_down_until;
-  std::vector<Late> m_late;
+  std::vector<DelayedEvent> m_delayed_events;
   // The highest token by which each target took each probed slot.
-  std::array<std::array<std::uint64_t, kNodes>, kProbes> m_tokens{};
-  bool m_took_old_token = false;
+  std::array<std::array<std::uint64_t, kNodes>, kProbes> m_highest_fences{};
+  bool m_has_stale_fence = false;
   std::uint32_t m_work_us = 0;
-  int m_served = 0;
+  int m_served_steps = 0;
 };
 
 constexpr milliseconds kPlayed{40'000};
 
 // The first and last seed to play: CITRONGRADE_MODEL_SEEDS, as "41 2000".
-std::pair<std::uint64_t, std::uint64_t> SeedsToPlay() {
+std::pair<std::uint64_t, std::uint64_t> SeedsToRun() {
   std::pair<std::uint64_t, std::uint64_t> seeds{1, 40};
   if (const char* wanted = std::getenv("CITRONGRADE_MODEL_SEEDS"))
     std::istringstream(wanted) >> seeds.first >> seeds.second;
@@ -796,7 +806,7 @@
 int CountViolations(std::uint64_t seeds, const Options& options) {
   int violations = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed)
-    violations += Model(seed, options).Run(kPlayed) > 0 ? 1 : 0;
+    violations += OwnershipModel(seed, options).Run(kPlayed) > 0 ? 1 : 0;
   return violations;
 }
 
@@ -804,9 +814,9 @@
 
 TEST_CASE("no two targets hold one key, whatever fails") {
   int served = 0;
-  const auto [first, last] = SeedsToPlay();
+  const auto [first, last] = SeedsToRun();
   for (std::uint64_t seed = first; seed <= last; ++seed) {
-    Model model(seed, Options());
+    OwnershipModel model(seed, Options());
     CHECK_MESSAGE(model.Run(kPlayed) == 0, "seed ", seed);
     served += model.served_steps();
   }
@@ -820,9 +830,9 @@
   Options options;
   options.grants_by_report = true;
   int served = 0;
-  const auto [first, last] = SeedsToPlay();
+  const auto [first, last] = SeedsToRun();
   for (std::uint64_t seed = first; seed <= last; ++seed) {
-    Model model(seed, options);
+    OwnershipModel model(seed, options);
     CHECK_MESSAGE(model.Run(kPlayed) == 0, "seed ", seed);
     served += model.served_steps();
   }
@@ -834,13 +844,13 @@
 TEST_CASE("the model reports a lease that ends before its target's holds") {
   Options options;
   options.grants_by_report = true;
-  options.timing.drift = milliseconds(-1200);
+  options.timing.max_clock_drift = milliseconds(-1200);
   CHECK(CountViolations(30, options) > 0);
 }
 
 TEST_CASE("the model reports a leader that does not wait for old leases") {
   Options options;
-  options.timing.drift = milliseconds(-1200);
+  options.timing.max_clock_drift = milliseconds(-1200);
   CHECK(CountViolations(30, options) > 0);
 }
 
@@ -854,13 +864,13 @@
   Options options;
   options.checks_leader_is_gone = false;
   options.replaces_leaders = false;
-  options.changes_work = false;
+  options.varies_service_time = false;
   CHECK(CountViolations(40, options) > 0);
 }
 
 TEST_CASE("the model reports grants whose late arrival nobody waits for") {
   Options options;
-  options.waits_for_unanswered = false;
+  options.waits_for_unanswered_grants = false;
   CHECK(CountViolations(40, options) > 0);
 }
 
--- a/modules/coordination/mesh/reported_holds.cc
+++ b/modules/coordination/mesh/polling_hold_tracker.cc
@@ -1,4 +1,4 @@
-#include "modules/coordination/mesh/reported_holds.h"
+#include "modules/coordination/mesh/polling_hold_tracker.h"
 
 #include <spdlog/spdlog.h>
 
@@ -8,48 +8,50 @@
 
 using std::chrono::milliseconds;
 
-ReportedHolds::ReportedHolds(const Clock& clock, Clock::Duration earlier)
-    : TargetHolds(clock, earlier) {}
+PollingHoldTracker::PollingHoldTracker(const Clock& clock,
+                                       Clock::Duration earlier)
+    : TargetHoldTracker(clock, earlier) {}
 
-void ReportedHolds::BeginRelease(Hold& hold) {
+void PollingHoldTracker::OnMustRelease(Hold& hold) {
   // It goes on being served until an answer has left it out: until then the
   // target holds it, and nobody else can.
   hold.is_to_release = true;
 }
 
-void ReportedHolds::SplitAtEdges(const Report& report) {
-  for (const Held& held : report.held) {
+void PollingHoldTracker::SplitAtReportedRanges(const Report& report) {
+  for (const HeldRange& held : report.held) {
     SplitAt(held.range.first);
     SplitAt(held.range.last + 1);
   }
-  for (const Freed& freed : report.freed) {
+  for (const ReleasedRange& freed : report.released) {
     SplitAt(freed.range.first);
     SplitAt(freed.range.last + 1);
   }
 }
 
-void ReportedHolds::NoteReported(Hold& hold, bool is_held) {
+void PollingHoldTracker::UpdateGrantedHold(Hold& hold, bool is_held) {
   if (is_held) {
     hold.is_confirmed = true;
-    hold.unheeded = 0;
+    hold.ignored_replies = 0;
     return;
   }
   hold.is_confirmed = false;
-  if (hold.state == State::kWanted) {
+  if (hold.state == State::kAwaitingGrant) {
     // No answer has named it since the last report: nothing holds it.
-    hold.unanswered_until = {};
+    hold.may_hold_until = {};
     return;
   }
   // The answer was lost, came too late, or the target refused the range.
-  ++hold.unheeded;
-  hold.state =
-      hold.unheeded >= kMostUnheeded ? State::kReturned : State::kWanted;
+  ++hold.ignored_replies;
+  hold.state = hold.ignored_replies >= kMaxIgnoredReplies
+                   ? State::kReturned
+                   : State::kAwaitingGrant;
 }
 
-void ReportedHolds::NoteReleased(Hold& hold,
-                                 bool is_held,
-                                 const Freed* freed,
-                                 Clock::TimePoint now) {
+void PollingHoldTracker::UpdateReleasingHold(Hold& hold,
+                                             bool is_held,
+                                             const ReleasedRange* freed,
+                                             Clock::TimePoint now) {
   if (is_held)
     return;
   if (freed != nullptr) {
@@ -57,32 +59,35 @@
     // A target that hands nothing over did not touch the keys.
     hold.returned_handover =
         freed->handover.empty() ? hold.handover : freed->handover;
-  } else if (now >= hold.unanswered_until) {
+  } else if (now >= hold.may_hold_until) {
     hold.state = State::kReturned;
     if (!hold.is_confirmed)
       hold.returned_handover = hold.handover;
   }
 }
 
-void ReportedHolds::OnReport(const Report& report) {
-  SplitAtEdges(report);
+void PollingHoldTracker::OnReport(const Report& report) {
+  SplitAtReportedRanges(report);
   const Clock::TimePoint now = Now();
   for (Hold& hold : holds()) {
     const bool is_held = std::any_of(
-        report.held.begin(), report.held.end(), [&hold](const Held& held) {
+        report.held.begin(), report.held.end(), [&hold](const HeldRange& held) {
           return held.range.Contains(hold.range) && held.fence == hold.fence;
         });
-    const auto freed = std::find_if(
-        report.freed.begin(), report.freed.end(),
-        [&hold](const Freed& one) { return one.range.Contains(hold.range); });
+    const auto freed =
+        std::find_if(report.released.begin(), report.released.end(),
+                     [&hold](const ReleasedRange& one) {
+                       return one.range.Contains(hold.range);
+                     });
     if (hold.state == State::kReleasing)
-      NoteReleased(hold, is_held,
-                   freed == report.freed.end() ? nullptr : &*freed, now);
+      UpdateReleasingHold(hold, is_held,
+                          freed == report.released.end() ? nullptr : &*freed,
+                          now);
     else if (hold.state != State::kReturned)
-      NoteReported(hold, is_held);
+      UpdateGrantedHold(hold, is_held);
   }
-  m_has_surplus = std::any_of(
-      report.held.begin(), report.held.end(), [this](const Held& held) {
+  m_holds_unassigned_range = std::any_of(
+      report.held.begin(), report.held.end(), [this](const HeldRange& held) {
         return std::none_of(holds().begin(), holds().end(),
                             [&held](const Hold& hold) {
                               return hold.fence == held.fence &&
@@ -90,31 +95,31 @@
                                      hold.state != State::kReturned;
                             });
       });
-  JoinNeighbours();
+  MergeAdjacentHolds();
 }
 
-bool ReportedHolds::HasNews() const {
-  return m_has_surplus ||
+bool PollingHoldTracker::HasPendingChanges() const {
+  return m_holds_unassigned_range ||
          std::any_of(holds().begin(), holds().end(), [](const Hold& hold) {
-           return hold.state == State::kWanted ||
+           return hold.state == State::kAwaitingGrant ||
                   hold.state == State::kReleasing ||
                   (hold.state == State::kHeld && hold.is_to_release);
          });
 }
 
-std::optional<ReportedHolds::Statement> ReportedHolds::MakeStatement(
-    Clock::TimePoint reported,
-    Clock::TimePoint lease_until) {
+std::optional<PollingHoldTracker::GrantReply>
+PollingHoldTracker::MakeGrantReply(Clock::TimePoint reported,
+                                   Clock::TimePoint lease_until) {
   const auto left =
       std::chrono::duration<double, std::milli>(lease_until - reported);
-  Statement statement;
-  statement.hold =
-      milliseconds(static_cast<std::int64_t>(left.count() * kTargetClock));
-  if (lease_until - Now() < kShortestHold)
+  GrantReply statement;
+  statement.hold = milliseconds(
+      static_cast<std::int64_t>(left.count() * kMinTargetClockRate));
+  if (lease_until - Now() < kMinHold)
     return std::nullopt;
   std::vector<Hold*> named;
   for (Hold& hold : holds()) {
-    if (hold.state != State::kWanted && hold.state != State::kHeld)
+    if (hold.state != State::kAwaitingGrant && hold.state != State::kHeld)
       continue;
     if (hold.is_to_release)
       hold.state = State::kReleasing;
@@ -129,17 +134,18 @@
   for (Hold* hold : named) {
     const std::string handover =
         hold->is_confirmed ? std::string() : hold->handover;
-    bytes += kRowBytes + handover.size();
-    if (bytes > kStatementBytes) {
+    bytes += kGrantedRangeBytes + handover.size();
+    if (bytes > kMaxGrantReplyBytes) {
       ++omitted;
       continue;
     }
-    statement.rows.push_back({hold->range, hold->fence, handover});
+    statement.ranges.push_back({hold->range, hold->fence, handover});
     hold->state = State::kHeld;
     hold->serve_until =
         std::max(hold->serve_until, reported + statement.hold - kServeMargin);
-    hold->unanswered_until =
-        std::max(hold->unanswered_until, reported + Longest(statement.hold));
+    hold->may_hold_until =
+        std::max(hold->may_hold_until,
+                 reported + MaxDurationByNodeClock(statement.hold));
   }
   if (omitted > 0) {
     spdlog::warn("event=grants-omitted ranges={} reason=\"answer too long\"",
@@ -148,14 +154,16 @@
   return statement;
 }
 
-std::vector<TargetHolds::ReturnedRange> ReportedHolds::Returned() {
+std::vector<TargetHoldTracker::ReturnedRange>
+PollingHoldTracker::ReturnedRanges() {
   const Clock::TimePoint now = Now();
   std::vector<ReturnedRange> returned;
   for (Hold& hold : holds()) {
     // A target that has fallen silent holds nothing after its last answer.
-    const bool has_run_out = now >= hold.unanswered_until;
-    const bool waits = hold.state == State::kReleasing ||
-                       (hold.state == State::kWanted && hold.is_to_release);
+    const bool has_run_out = now >= hold.may_hold_until;
+    const bool waits =
+        hold.state == State::kReleasing ||
+        (hold.state == State::kAwaitingGrant && hold.is_to_release);
     if (waits && has_run_out)
       hold.state = State::kReturned;
     if (hold.state == State::kReturned)
@@ -164,11 +172,11 @@
   return returned;
 }
 
-Clock::TimePoint ReportedHolds::HeldUntil() const {
+Clock::TimePoint PollingHoldTracker::HeldUntil() const {
   Clock::TimePoint end = Clock::TimePoint::min();
   for (const Hold& hold : holds()) {
     if (hold.state != State::kReturned)
-      end = std::max(end, hold.unanswered_until);
+      end = std::max(end, hold.may_hold_until);
   }
   return end;
 }
--- a/modules/coordination/mesh/reported_holds.h
+++ b/modules/coordination/mesh/polling_hold_tracker.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "modules/coordination/clock.h"
-#include "modules/coordination/mesh/target_holds.h"
+#include "modules/coordination/mesh/target_hold_tracker.h"
 #include "modules/state/mesh/key_slot.h"
 
 namespace citrongrade {
@@ -32,86 +32,87 @@
 //
 // Thread-confined, no input or output. Kin: HoldBook, for targets that take
 // orders; TargetKeeper, which answers reports.
-class ReportedHolds final : public TargetHolds {
+class PollingHoldTracker final : public TargetHoldTracker {
  public:
-  struct Held {
+  struct HeldRange {
     SlotRange range;
     std::uint64_t fence = 0;
 
-    friend auto operator<=>(const Held&, const Held&) = default;
+    friend auto operator<=>(const HeldRange&, const HeldRange&) = default;
   };
 
-  struct Freed {
+  struct ReleasedRange {
     SlotRange range;
     // For the next holder.
     std::string handover;
 
-    friend auto operator<=>(const Freed&, const Freed&) = default;
+    friend auto operator<=>(const ReleasedRange&,
+                            const ReleasedRange&) = default;
   };
 
   struct Report {
-    std::vector<Held> held;
+    std::vector<HeldRange> held;
     // Since the last report that was answered.
-    std::vector<Freed> freed;
+    std::vector<ReleasedRange> released;
 
     friend auto operator<=>(const Report&, const Report&) = default;
   };
 
-  struct Row {
+  struct GrantedRange {
     SlotRange range;
     std::uint64_t fence = 0;
     // Of the last holder; empty where there is none, or the target has it.
     std::string handover;
 
-    friend auto operator<=>(const Row&, const Row&) = default;
+    friend auto operator<=>(const GrantedRange&, const GrantedRange&) = default;
   };
 
   // All that the target is to hold.
-  struct Statement {
-    std::vector<Row> rows;
+  struct GrantReply {
+    std::vector<GrantedRange> ranges;
     // Counts from when the report was sent.
     std::chrono::milliseconds hold{0};
 
-    friend auto operator<=>(const Statement&, const Statement&) = default;
+    friend auto operator<=>(const GrantReply&, const GrantReply&) = default;
   };
 
   // An answer may be 4 KiB long: a hundred rows of up to 26 bytes beside their
   // handovers, and what stands around them.
-  static constexpr std::size_t kStatementBytes = 3900;
-  static constexpr std::size_t kRowBytes = 28;
+  static constexpr std::size_t kMaxGrantReplyBytes = 3900;
+  static constexpr std::size_t kGrantedRangeBytes = 28;
   // Answers without effect after which a range is taken for refused: the target
   // has seen a higher token, and only a new one helps. Two may be lost in a row
   // while a node is slow.
-  static constexpr unsigned kMostUnheeded = 3;
+  static constexpr unsigned kMaxIgnoredReplies = 3;
 
   // `earlier`: what an earlier process of this node granted holds at most that
   // much longer.
-  ReportedHolds(const Clock& clock, Clock::Duration earlier);
+  PollingHoldTracker(const Clock& clock, Clock::Duration earlier);
 
   void OnReport(const Report& report);
   // The answer would change what the target holds, or the target is giving
   // ranges back and waits for it to report again.
-  bool HasNews() const;
+  bool HasPendingChanges() const;
   // `reported`: when the report arrived; `lease_until`: until when the node may
   // let its target serve. Nothing while there is no lease: an answer without a
   // statement leaves the target what it has for as long as it has it.
-  std::optional<Statement> MakeStatement(Clock::TimePoint reported,
-                                         Clock::TimePoint lease_until);
+  std::optional<GrantReply> MakeGrantReply(Clock::TimePoint reported,
+                                           Clock::TimePoint lease_until);
 
-  std::vector<ReturnedRange> Returned() override;
+  std::vector<ReturnedRange> ReturnedRanges() override;
   Clock::TimePoint HeldUntil() const override;
 
  private:
-  void BeginRelease(Hold& hold) override;
-  void SplitAtEdges(const Report& report);
-  static void NoteReported(Hold& hold, bool is_held);
-  static void NoteReleased(Hold& hold,
-                           bool is_held,
-                           const Freed* freed,
-                           Clock::TimePoint now);
+  void OnMustRelease(Hold& hold) override;
+  void SplitAtReportedRanges(const Report& report);
+  static void UpdateGrantedHold(Hold& hold, bool is_held);
+  static void UpdateReleasingHold(Hold& hold,
+                                  bool is_held,
+                                  const ReleasedRange* freed,
+                                  Clock::TimePoint now);
 
   // The target reported a range that the view does not give it.
-  bool m_has_surplus = false;
+  bool m_holds_unassigned_range = false;
 };
 
 }  // namespace citrongrade
--- /dev/null
+++ b/modules/coordination/mesh/push_hold_tracker.cc
@@ -0,0 +1,170 @@
+#include "modules/coordination/mesh/push_hold_tracker.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace citrongrade {
+
+namespace {
+
+using std::chrono::milliseconds;
+
+// What a clock that runs slow adds to the longest hold.
+constexpr milliseconds kClockSlack{40};
+// Grants that an earlier process of this node left without an answer may hold
+// for so long after its end, by a lease of ordinary length; SetLongestLease()
+// tells of longer ones.
+constexpr milliseconds kEarlierProcessHold{2000};
+
+}  // namespace
+
+PushHoldTracker::PushHoldTracker(const Clock& clock)
+    : TargetHoldTracker(clock, kEarlierProcessHold) {}
+
+void PushHoldTracker::OnMustRelease(Hold& hold) {
+  if (hold.state == State::kReleasing || hold.state == State::kReturned)
+    return;
+  // Also what this process has never granted: an earlier one may have.
+  hold.state = State::kReleasing;
+  hold.next_call = Now();
+}
+
+std::vector<PushHoldTracker::Grant> PushHoldTracker::DueGrants(
+    Clock::TimePoint lease_until) {
+  std::vector<Grant> due;
+  const Clock::TimePoint now = Now();
+  const auto left = std::chrono::duration<double, std::milli>(
+      lease_until - now - kCallTimeout);
+  // From the arrival of the call on, by a clock that may run slow.
+  const milliseconds hold_time(
+      static_cast<std::int64_t>(left.count() * kMinTargetClockRate));
+  if (hold_time < kMinHold)
+    return due;
+  for (Hold& hold : holds()) {
+    if (hold.call_id != 0 || now < hold.next_call ||
+        (hold.state != State::kAwaitingGrant && hold.state != State::kHeld))
+      continue;
+    hold.call_id = m_next_id++;
+    hold.call_sent_at = now;
+    hold.call_hold = hold_time;
+    due.push_back(
+        {hold.call_id, hold.range, hold.fence, hold.handover, hold_time});
+  }
+  return due;
+}
+
+template <typename Change>
+void PushHoldTracker::CompleteCall(std::uint64_t id, Change change) {
+  for (Hold& hold : holds()) {
+    if (hold.call_id != id)
+      continue;
+    hold.call_id = 0;
+    change(hold);
+  }
+}
+
+void PushHoldTracker::OnGranted(std::uint64_t id) {
+  CompleteCall(id, [](Hold& hold) {
+    hold.serve_until = std::max(
+        hold.serve_until, hold.call_sent_at + hold.call_hold - kServeMargin);
+    if (hold.state == State::kAwaitingGrant)
+      hold.state = State::kHeld;
+    if (hold.state == State::kHeld)
+      hold.next_call = hold.call_sent_at + kRenewalInterval;
+  });
+  MergeAdjacentHolds();
+}
+
+void PushHoldTracker::OnGrantUnanswered(std::uint64_t id) {
+  const Clock::TimePoint now = Now();
+  CompleteCall(id, [now](Hold& hold) {
+    hold.may_hold_until = std::max(hold.may_hold_until,
+                                   hold.call_sent_at + kCallTimeout +
+                                       MaxDurationByNodeClock(hold.call_hold));
+    hold.next_call = now + kRetryDelay;
+  });
+}
+
+void PushHoldTracker::OnGrantNotSent(std::uint64_t id) {
+  const Clock::TimePoint now = Now();
+  CompleteCall(id, [now](Hold& hold) { hold.next_call = now + kRetryDelay; });
+}
+
+void PushHoldTracker::OnGrantRefused(std::uint64_t id) {
+  CompleteCall(id, [](Hold& hold) {
+    hold.state = State::kReturned;
+    hold.returned_handover.clear();
+    hold.is_released = true;
+  });
+}
+
+std::vector<PushHoldTracker::Release> PushHoldTracker::DueReleases() {
+  std::vector<Release> due;
+  const Clock::TimePoint now = Now();
+  for (Hold& hold : holds()) {
+    if (hold.state != State::kReleasing || hold.call_id != 0 ||
+        hold.is_released || now < hold.next_call)
+      continue;
+    hold.call_id = m_next_id++;
+    hold.call_sent_at = now;
+    due.push_back(
+        {hold.call_id, hold.range, hold.fence, hold.was_release_unanswered});
+  }
+  return due;
+}
+
+void PushHoldTracker::OnReleased(std::uint64_t id,
+                                 const std::string& handover) {
+  CompleteCall(id, [&handover](Hold& hold) {
+    hold.is_released = true;
+    // A target that held nothing hands nothing over, and nobody has touched the
+    // keys since the holder before.
+    hold.returned_handover = handover.empty() ? hold.handover : handover;
+  });
+}
+
+void PushHoldTracker::OnReleaseUnanswered(std::uint64_t id) {
+  const Clock::TimePoint now = Now();
+  CompleteCall(id, [now](Hold& hold) {
+    hold.next_call = now + kRetryDelay;
+    hold.was_release_unanswered = true;
+  });
+}
+
+std::vector<PushHoldTracker::ReturnedRange> PushHoldTracker::ReturnedRanges() {
+  const Clock::TimePoint now = Now();
+  std::vector<ReturnedRange> returned;
+  for (Hold& hold : holds()) {
+    if (hold.state == State::kReleasing) {
+      // A hold that was never released runs out by itself.
+      const Clock::TimePoint end =
+          hold.is_released
+              ? hold.may_hold_until
+              : std::max(hold.may_hold_until, hold.serve_until + kServeMargin +
+                                                  kCallTimeout + kClockSlack);
+      if (now >= end && (hold.is_released || hold.call_id == 0))
+        hold.state = State::kReturned;
+    }
+    if (hold.state == State::kReturned) {
+      returned.push_back({hold.range, hold.fence, hold.returned_handover});
+    }
+  }
+  return returned;
+}
+
+Clock::TimePoint PushHoldTracker::HeldUntil() const {
+  Clock::TimePoint end = Clock::TimePoint::min();
+  for (const Hold& hold : holds()) {
+    if (hold.state == State::kReturned)
+      continue;
+    end = std::max(
+        {end, hold.serve_until + kServeMargin + kCallTimeout + kClockSlack,
+         hold.may_hold_until});
+    if (hold.call_id != 0)
+      end = std::max(end, hold.call_sent_at + kCallTimeout +
+                              MaxDurationByNodeClock(hold.call_hold));
+  }
+  return end;
+}
+
+}  // namespace citrongrade
--- a/modules/coordination/mesh/hold_book.h
+++ b/modules/coordination/mesh/push_hold_tracker.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "modules/coordination/clock.h"
-#include "modules/coordination/mesh/target_holds.h"
+#include "modules/coordination/mesh/target_hold_tracker.h"
 #include "modules/state/mesh/key_slot.h"
 
 namespace citrongrade {
@@ -25,7 +25,7 @@
 // Thread-confined, no input or output. Kin: TargetKeeper sends the calls;
 // ReportedHolds does the same for targets that get grants with the answers to
 // their reports.
-class HoldBook final : public TargetHolds {
+class PushHoldTracker final : public TargetHoldTracker {
  public:
   struct Grant {
     std::uint64_t id = 0;
@@ -42,18 +42,18 @@
     SlotRange range;
     std::uint64_t fence = 0;
     // One before it got no answer.
-    bool is_repeat = false;
+    bool is_retry = false;
 
     friend auto operator<=>(const Release&, const Release&) = default;
   };
 
   // A grant is sent again this often while its target should keep the keys.
-  static constexpr std::chrono::milliseconds kRenewal{600};
+  static constexpr std::chrono::milliseconds kRenewalInterval{600};
   // After a call without an answer.
-  static constexpr std::chrono::milliseconds kRepeat{60};
-  using TargetHolds::kCallTimeout;
+  static constexpr std::chrono::milliseconds kRetryDelay{60};
+  using TargetHoldTracker::kCallTimeout;
 
-  explicit HoldBook(const Clock& clock);
+  explicit PushHoldTracker(const Clock& clock);
 
   // `lease_until`: until when the node may let its target serve.
   std::vector<Grant> DueGrants(Clock::TimePoint lease_until);
@@ -68,13 +68,13 @@
   void OnReleased(std::uint64_t id, const std::string& handover);
   void OnReleaseUnanswered(std::uint64_t id);
 
-  std::vector<ReturnedRange> Returned() override;
+  std::vector<ReturnedRange> ReturnedRanges() override;
   Clock::TimePoint HeldUntil() const override;
 
  private:
-  void BeginRelease(Hold& hold) override;
+  void OnMustRelease(Hold& hold) override;
   template <typename Change>
-  void ForCall(std::uint64_t id, Change change);
+  void CompleteCall(std::uint64_t id, Change change);
 
   std::uint64_t m_next_id = 1;
 };
--- a/modules/coordination/mesh/hold_book_test.cc
+++ b/modules/coordination/mesh/push_hold_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "modules/coordination/mesh/hold_book.h"
+#include "modules/coordination/mesh/push_hold_tracker.h"
 
 #include <doctest/doctest.h>
 
@@ -18,29 +18,29 @@
 struct Fixture {
   Fixture() { clock.Advance(kLater); }
 
-  HoldBook::Grant GrantOne() {
+  PushHoldTracker::Grant GrantOne() {
     const auto due = book.DueGrants(clock.Now() + kLease);
     REQUIRE(due.size() == 1);
     return due.front();
   }
 
   void Hold(std::uint32_t first, std::uint32_t last, std::uint64_t fence) {
-    book.SetOwned({MakeOwnedRun(first, last, fence)});
+    book.SetAssignments({MakeOwnedRun(first, last, fence)});
     book.OnGranted(GrantOne().id);
   }
 
   ManualClock clock;
-  HoldBook book{clock};
+  PushHoldTracker book{clock};
 };
 
 }  // namespace
 
 TEST_CASE_FIXTURE(Fixture,
                   "keys are served once granted, until the hold ends") {
-  book.SetOwned({MakeOwnedRun(10, 20, 5)});
-  CHECK(book.IsComing(15));
+  book.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  CHECK(book.IsAwaitingGrant(15));
   CHECK_FALSE(book.MayServe(15));
-  const HoldBook::Grant grant = GrantOne();
+  const PushHoldTracker::Grant grant = GrantOne();
   CHECK(grant.handover == "from-before");
   CHECK(grant.hold < kLease);
   book.OnGranted(grant.id);
@@ -54,39 +54,40 @@
                   "a hold is renewed by the same grant while the lease lasts") {
   Hold(10, 20, 5);
   CHECK(book.DueGrants(clock.Now() + kLease).empty());
-  clock.Advance(HoldBook::kRenewal);
-  const HoldBook::Grant renewal = GrantOne();
+  clock.Advance(PushHoldTracker::kRenewalInterval);
+  const PushHoldTracker::Grant renewal = GrantOne();
   CHECK(renewal.range == SlotRange{10, 20});
   CHECK(renewal.fence == 5);
   book.OnGranted(renewal.id);
-  clock.Advance(HoldBook::kRenewal);
+  clock.Advance(PushHoldTracker::kRenewalInterval);
   // The lease has all but run out: what is left is not worth a hold.
-  CHECK(book.DueGrants(clock.Now() + HoldBook::kCallTimeout).empty());
+  CHECK(book.DueGrants(clock.Now() + PushHoldTracker::kCallTimeout).empty());
 }
 
 TEST_CASE_FIXTURE(Fixture, "a part is given back with the target's handover") {
   Hold(10, 20, 5);
-  book.SetOwned({MakeOwnedRun(10, 11, 5), MakeMovingRun(12, 13, 5),
-                 MakeOwnedRun(14, 20, 5)});
+  book.SetAssignments({MakeOwnedRun(10, 11, 5), MakeMovingRun(12, 13, 5),
+                       MakeOwnedRun(14, 20, 5)});
   CHECK_FALSE(book.MayServe(12));
-  CHECK(book.IsLeaving(13));
+  CHECK(book.IsBeingReleased(13));
   CHECK(book.MayServe(11));
   CHECK(book.MayServe(14));
   const auto due = book.DueReleases();
   REQUIRE(due.size() == 1);
   CHECK(due.front().range == SlotRange{12, 13});
-  CHECK(book.Returned().empty());
+  CHECK(book.ReturnedRanges().empty());
   book.OnReleased(due.front().id, "token");
-  const auto returned = book.Returned();
+  const auto returned = book.ReturnedRanges();
   REQUIRE(returned.size() == 1);
   CHECK(returned.front().handover == "token");
   // It is reported until the view shows another owner, and never granted again.
-  CHECK(book.Returned().size() == 1);
-  clock.Advance(HoldBook::kRenewal);
-  for (const HoldBook::Grant& grant : book.DueGrants(clock.Now() + kLease))
+  CHECK(book.ReturnedRanges().size() == 1);
+  clock.Advance(PushHoldTracker::kRenewalInterval);
+  for (const PushHoldTracker::Grant& grant :
+       book.DueGrants(clock.Now() + kLease))
     CHECK_FALSE(grant.range.Overlaps({12, 13}));
-  book.SetOwned({MakeOwnedRun(10, 11, 5), MakeOwnedRun(14, 20, 5)});
-  CHECK(book.Returned().empty());
+  book.SetAssignments({MakeOwnedRun(10, 11, 5), MakeOwnedRun(14, 20, 5)});
+  CHECK(book.ReturnedRanges().empty());
 }
 
 // Two targets hold the same key: a renewal got no answer, the keys were given
@@ -96,34 +97,34 @@
     Fixture,
     "keys are not given back while a grant may still take effect") {
   Hold(10, 20, 5);
-  clock.Advance(HoldBook::kRenewal);
-  const HoldBook::Grant renewal = GrantOne();
-  clock.Advance(HoldBook::kCallTimeout);
+  clock.Advance(PushHoldTracker::kRenewalInterval);
+  const PushHoldTracker::Grant renewal = GrantOne();
+  clock.Advance(PushHoldTracker::kCallTimeout);
   book.OnGrantUnanswered(renewal.id);
-  book.SetOwned({MakeMovingRun(10, 20, 5)});
+  book.SetAssignments({MakeMovingRun(10, 20, 5)});
   const auto due = book.DueReleases();
   REQUIRE(due.size() == 1);
   book.OnReleased(due.front().id, "token");
-  CHECK(book.Returned().empty());
+  CHECK(book.ReturnedRanges().empty());
   clock.Advance(renewal.hold);
-  CHECK(book.Returned().empty());
+  CHECK(book.ReturnedRanges().empty());
   clock.Advance(milliseconds(100));
-  CHECK(book.Returned().size() == 1);
+  CHECK(book.ReturnedRanges().size() == 1);
 }
 
 // A node restarts between an order to give keys back and the release. The new
 // process has granted nothing; its target still holds what the old one granted.
 TEST_CASE("a process that has just started asks its target to release") {
   ManualClock clock;
-  HoldBook book(clock);
-  book.SetOwned({MakeMovingRun(10, 20, 5)});
-  CHECK(book.Returned().empty());
+  PushHoldTracker book(clock);
+  book.SetAssignments({MakeMovingRun(10, 20, 5)});
+  CHECK(book.ReturnedRanges().empty());
   const auto due = book.DueReleases();
   REQUIRE(due.size() == 1);
   book.OnReleased(due.front().id, "");
-  CHECK(book.Returned().empty());
+  CHECK(book.ReturnedRanges().empty());
   clock.Advance(kLater);
-  const auto returned = book.Returned();
+  const auto returned = book.ReturnedRanges();
   REQUIRE(returned.size() == 1);
   CHECK(returned.front().handover == "from-before");
 }
@@ -131,12 +132,12 @@
 TEST_CASE_FIXTURE(Fixture,
                   "a release that is never answered ends with the hold") {
   Hold(10, 20, 5);
-  book.SetOwned({MakeMovingRun(10, 20, 5)});
+  book.SetAssignments({MakeMovingRun(10, 20, 5)});
   const auto due = book.DueReleases();
   book.OnReleaseUnanswered(due.front().id);
-  CHECK(book.Returned().empty());
+  CHECK(book.ReturnedRanges().empty());
   clock.Advance(kLease + milliseconds(50));
-  const auto returned = book.Returned();
+  const auto returned = book.ReturnedRanges();
   REQUIRE(returned.size() == 1);
   CHECK(returned.front().handover.empty());
 }
@@ -148,39 +149,40 @@
 TEST_CASE_FIXTURE(Fixture,
                   "keys that come back to be released wait for old grants") {
   Hold(10, 20, 5);
-  clock.Advance(HoldBook::kRenewal);
-  const HoldBook::Grant renewal = GrantOne();
-  book.SetOwned({});
-  book.SetOwned({MakeMovingRun(10, 20, 5)});
+  clock.Advance(PushHoldTracker::kRenewalInterval);
+  const PushHoldTracker::Grant renewal = GrantOne();
+  book.SetAssignments({});
+  book.SetAssignments({MakeMovingRun(10, 20, 5)});
   CHECK_FALSE(book.MayServe(15));
   CHECK(book.DueGrants(clock.Now() + kLease).empty());
   const auto due = book.DueReleases();
   REQUIRE(due.size() == 1);
   book.OnReleased(due.front().id, "token");
-  CHECK(book.Returned().empty());
-  clock.Advance(renewal.hold + HoldBook::kCallTimeout + milliseconds(100));
-  CHECK(book.Returned().size() == 1);
+  CHECK(book.ReturnedRanges().empty());
+  clock.Advance(renewal.hold + PushHoldTracker::kCallTimeout +
+                milliseconds(100));
+  CHECK(book.ReturnedRanges().size() == 1);
 }
 
 // Keys that were to move were refused for over a second: a grant that had been
 // held back counted as one that might still arrive.
 TEST_CASE_FIXTURE(Fixture, "a grant that was not sent holds up no release") {
   Hold(10, 20, 5);
-  clock.Advance(HoldBook::kRenewal);
+  clock.Advance(PushHoldTracker::kRenewalInterval);
   book.OnGrantNotSent(GrantOne().id);
   CHECK(book.DueGrants(clock.Now() + kLease).empty());
-  book.SetOwned({MakeMovingRun(10, 20, 5)});
+  book.SetAssignments({MakeMovingRun(10, 20, 5)});
   const auto due = book.DueReleases();
   REQUIRE(due.size() == 1);
   book.OnReleased(due.front().id, "token");
-  CHECK(book.Returned().size() == 1);
+  CHECK(book.ReturnedRanges().size() == 1);
 }
 
 TEST_CASE_FIXTURE(Fixture, "a grant that the target refuses is given up") {
-  book.SetOwned({MakeOwnedRun(10, 20, 5)});
+  book.SetAssignments({MakeOwnedRun(10, 20, 5)});
   book.OnGrantRefused(GrantOne().id);
   CHECK_FALSE(book.MayServe(15));
-  CHECK(book.Returned().size() == 1);
+  CHECK(book.ReturnedRanges().size() == 1);
 }
 
 // Guards against two holders: an earlier process of the node granted by a
@@ -188,27 +190,27 @@
 TEST_CASE("a new process waits as long as its earlier ones' leases may last") {
   constexpr milliseconds kLongest{2800};
   ManualClock clock;
-  HoldBook book(clock);
-  book.SetLongestLease(kLongest);
-  book.SetOwned({MakeMovingRun(10, 20, 5)});
+  PushHoldTracker book(clock);
+  book.SetMaxLease(kLongest);
+  book.SetAssignments({MakeMovingRun(10, 20, 5)});
   const auto due = book.DueReleases();
   REQUIRE(due.size() == 1);
   book.OnReleased(due.front().id, "token");
   clock.Advance(kLongest - milliseconds(1));
-  CHECK(book.Returned().empty());
+  CHECK(book.ReturnedRanges().empty());
   clock.Advance(milliseconds(1));
-  CHECK(book.Returned().size() == 1);
+  CHECK(book.ReturnedRanges().size() == 1);
 }
 
 TEST_CASE_FIXTURE(Fixture, "what is left of a hold is what a new run has") {
-  book.SetOwned({MakeOwnedRun(10, 20, 5)});
-  CHECK(book.HoldLeft(15) == Clock::Duration::zero());
-  const HoldBook::Grant grant = GrantOne();
+  book.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  CHECK(book.RemainingHold(15) == Clock::Duration::zero());
+  const PushHoldTracker::Grant grant = GrantOne();
   book.OnGranted(grant.id);
-  const Clock::Duration granted = book.HoldLeft(15);
+  const Clock::Duration granted = book.RemainingHold(15);
   CHECK(granted <= grant.hold);
   clock.Advance(milliseconds(100));
-  CHECK(book.HoldLeft(15) == granted - milliseconds(100));
+  CHECK(book.RemainingHold(15) == granted - milliseconds(100));
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/target_holds.cc
+++ b/modules/coordination/mesh/target_hold_tracker.cc
@@ -1,4 +1,4 @@
-#include "modules/coordination/mesh/target_holds.h"
+#include "modules/coordination/mesh/target_hold_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,25 +7,26 @@
 
 using std::chrono::milliseconds;
 
-milliseconds TargetHolds::Longest(milliseconds hold) {
+milliseconds TargetHoldTracker::MaxDurationByNodeClock(milliseconds hold) {
   return std::chrono::ceil<milliseconds>(
       std::chrono::duration<double, std::milli>(
-          static_cast<double>(hold.count()) / kTargetClock));
+          static_cast<double>(hold.count()) / kMinTargetClockRate));
 }
 
-TargetHolds::TargetHolds(const Clock& clock, Clock::Duration earlier)
+TargetHoldTracker::TargetHoldTracker(const Clock& clock,
+                                     Clock::Duration earlier)
     : m_clock(clock),
       m_started(clock.Now()),
-      m_earlier_until(m_started + earlier) {}
+      m_untracked_until(m_started + earlier) {}
 
-void TargetHolds::SetLongestLease(Clock::Duration longest) {
+void TargetHoldTracker::SetMaxLease(Clock::Duration longest) {
   const Clock::TimePoint until = m_started + longest;
-  m_earlier_until = std::max(m_earlier_until, until);
+  m_untracked_until = std::max(m_untracked_until, until);
   for (Hold& hold : m_holds)
-    hold.unanswered_until = std::max(hold.unanswered_until, until);
+    hold.may_hold_until = std::max(hold.may_hold_until, until);
 }
 
-void TargetHolds::SplitAt(std::uint32_t slot) {
+void TargetHoldTracker::SplitAt(std::uint32_t slot) {
   for (std::size_t i = 0; i < m_holds.size(); ++i) {
     Hold& hold = m_holds[i];
     if (hold.range.first >= slot || hold.range.last < slot)
@@ -38,34 +39,34 @@
   }
 }
 
-bool TargetHolds::CanJoin(const Hold& left, const Hold& right) {
+bool TargetHoldTracker::CanMerge(const Hold& left, const Hold& right) {
   return left.range.last + 1 == right.range.first &&
          left.fence == right.fence && left.handover == right.handover &&
          left.state == right.state && left.state == State::kHeld &&
-         left.call == 0 && right.call == 0 &&
+         left.call_id == 0 && right.call_id == 0 &&
          left.is_to_release == right.is_to_release &&
          left.is_confirmed == right.is_confirmed &&
-         left.unheeded == right.unheeded;
+         left.ignored_replies == right.ignored_replies;
 }
 
-void TargetHolds::JoinNeighbours() {
+void TargetHoldTracker::MergeAdjacentHolds() {
   std::vector<Hold> joined;
   for (Hold& hold : m_holds) {
-    if (joined.empty() || !CanJoin(joined.back(), hold)) {
+    if (joined.empty() || !CanMerge(joined.back(), hold)) {
       joined.push_back(std::move(hold));
       continue;
     }
     Hold& last = joined.back();
     last.range.last = hold.range.last;
     last.serve_until = std::min(last.serve_until, hold.serve_until);
-    last.unanswered_until =
-        std::max(last.unanswered_until, hold.unanswered_until);
+    last.may_hold_until = std::max(last.may_hold_until, hold.may_hold_until);
     last.next_call = std::min(last.next_call, hold.next_call);
   }
   m_holds = std::move(joined);
 }
 
-void TargetHolds::TakeRun(const OwnedRun& run, std::vector<Hold>& holds) {
+void TargetHoldTracker::MoveHoldsOf(const SlotAssignment& run,
+                                    std::vector<Hold>& holds) {
   const Clock::TimePoint now = m_clock.Now();
   std::uint32_t uncovered = run.range.first;
   const auto add_wanted = [&](std::uint32_t end) {
@@ -76,7 +77,7 @@
     hold.fence = run.fence;
     hold.handover = run.handover;
     hold.next_call = now;
-    hold.unanswered_until = m_earlier_until;
+    hold.may_hold_until = m_untracked_until;
     holds.push_back(std::move(hold));
   };
   const std::size_t first = holds.size();
@@ -95,43 +96,45 @@
   if (!run.is_moving())
     return;
   for (std::size_t i = first; i < holds.size(); ++i)
-    BeginRelease(holds[i]);
+    OnMustRelease(holds[i]);
 }
 
-void TargetHolds::ForgetRest() {
+void TargetHoldTracker::DropUnassignedHolds() {
   const Clock::TimePoint now = m_clock.Now();
   for (const Hold& hold : m_holds) {
     if (hold.state == State::kReturned)
       continue;
     // Should the keys come back by the same token, what was granted before may
     // still arrive: without this they would be given back too soon then.
-    m_earlier_until = std::max(m_earlier_until, hold.unanswered_until);
-    if (hold.call != 0 && now < hold.call_sent + kCallTimeout) {
-      m_earlier_until =
-          std::max(m_earlier_until,
-                   hold.call_sent + kCallTimeout + Longest(hold.call_hold));
+    m_untracked_until = std::max(m_untracked_until, hold.may_hold_until);
+    if (hold.call_id != 0 && now < hold.call_sent_at + kCallTimeout) {
+      m_untracked_until = std::max(m_untracked_until,
+                                   hold.call_sent_at + kCallTimeout +
+                                       MaxDurationByNodeClock(hold.call_hold));
     }
   }
 }
 
-void TargetHolds::SetOwned(const std::vector<OwnedRun>& owned) {
-  for (const OwnedRun& run : owned) {
+void TargetHoldTracker::SetAssignments(
+    const std::vector<SlotAssignment>& owned) {
+  for (const SlotAssignment& run : owned) {
     SplitAt(run.range.first);
     SplitAt(run.range.last + 1);
   }
   std::vector<Hold> next;
-  for (const OwnedRun& run : owned)
-    TakeRun(run, next);
-  ForgetRest();
+  for (const SlotAssignment& run : owned)
+    MoveHoldsOf(run, next);
+  DropUnassignedHolds();
   m_holds = std::move(next);
-  JoinNeighbours();
+  MergeAdjacentHolds();
 }
 
-void TargetHolds::Clear() {
+void TargetHoldTracker::Clear() {
   m_holds.clear();
 }
 
-const TargetHolds::Hold* TargetHolds::FindHold(std::uint32_t slot) const {
+const TargetHoldTracker::Hold* TargetHoldTracker::FindHold(
+    std::uint32_t slot) const {
   for (const Hold& hold : m_holds) {
     if (hold.range.Contains(slot))
       return &hold;
@@ -139,29 +142,29 @@
   return nullptr;
 }
 
-Clock::Duration TargetHolds::HoldLeft(std::uint32_t slot) const {
+Clock::Duration TargetHoldTracker::RemainingHold(std::uint32_t slot) const {
   const Hold* hold = FindHold(slot);
   if (hold == nullptr || hold->state != State::kHeld)
     return Clock::Duration::zero();
   return std::max(Clock::Duration::zero(), hold->serve_until - m_clock.Now());
 }
 
-bool TargetHolds::MayServe(std::uint32_t slot) const {
-  return HoldLeft(slot) > Clock::Duration::zero();
+bool TargetHoldTracker::MayServe(std::uint32_t slot) const {
+  return RemainingHold(slot) > Clock::Duration::zero();
 }
 
-bool TargetHolds::IsComing(std::uint32_t slot) const {
+bool TargetHoldTracker::IsAwaitingGrant(std::uint32_t slot) const {
   const Hold* hold = FindHold(slot);
-  return hold != nullptr && hold->state == State::kWanted;
+  return hold != nullptr && hold->state == State::kAwaitingGrant;
 }
 
-bool TargetHolds::IsLeaving(std::uint32_t slot) const {
+bool TargetHoldTracker::IsBeingReleased(std::uint32_t slot) const {
   const Hold* hold = FindHold(slot);
   return hold != nullptr &&
          (hold->state == State::kReleasing || hold->state == State::kReturned);
 }
 
-bool TargetHolds::HasNothingToGiveBack() const {
+bool TargetHoldTracker::HasReturnedAllRanges() const {
   return std::all_of(m_holds.begin(), m_holds.end(), [](const Hold& hold) {
     return hold.state == State::kReturned;
   });
--- a/modules/coordination/mesh/vote.h
+++ b/modules/coordination/mesh/vote.h
@@ -9,12 +9,12 @@
 // A node asks another for its vote, or gives one back that it can't use.
 struct VoteRequest {
   std::string candidate;
-  bool gives_back = false;
+  bool returns_vote = false;
   // The candidate leads, and tells a node that has lost touch with the mesh.
-  bool is_hello = false;
+  bool is_leader_announcement = false;
   // The process that leads by the stored record no longer exists, so nobody
   // counts on a promise that the voter may have forgotten.
-  bool replaces_gone_leader = false;
+  bool is_previous_leader_gone = false;
 
   friend auto operator<=>(const VoteRequest&, const VoteRequest&) = default;
 };
--- a/modules/coordination/mesh/vote_promise.cc
+++ b/modules/coordination/mesh/vote_promise.cc
@@ -3,20 +3,22 @@
 namespace citrongrade {
 
 VotePromise::VotePromise(const Clock& clock, Clock::Duration length)
-    : m_clock(clock), m_length(length), m_votes_from(clock.Now() + length) {}
+    : m_clock(clock),
+      m_duration(length),
+      m_abstains_until(clock.Now() + length) {}
 
-bool VotePromise::Grant(const std::string& candidate, bool is_leader_gone) {
+bool VotePromise::Promise(const std::string& candidate, bool is_leader_gone) {
   const std::string current = holder();
   if (is_abstaining() && !is_leader_gone && current != candidate)
     return false;
   if (!current.empty() && current != candidate)
     return false;
   m_holder = candidate;
-  m_until = m_clock.Now() + m_length;
+  m_until = m_clock.Now() + m_duration;
   return true;
 }
 
-void VotePromise::GiveBack(const std::string& holder) {
+void VotePromise::Release(const std::string& holder) {
   if (m_holder == holder)
     m_holder.clear();
 }
@@ -26,7 +28,7 @@
 }
 
 bool VotePromise::is_abstaining() const {
-  return m_clock.Now() < m_votes_from;
+  return m_clock.Now() < m_abstains_until;
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/vote_promise.h
+++ b/modules/coordination/mesh/vote_promise.h
@@ -26,17 +26,17 @@
   // Promises the vote to `candidate` from now on, if nobody else has it.
   // `is_leader_gone`: the process that claimed the mesh last is gone, and the
   // candidate claims on condition that nobody has claimed it since.
-  bool Grant(const std::string& candidate, bool is_leader_gone = false);
+  bool Promise(const std::string& candidate, bool is_leader_gone = false);
   // `holder` does not count on it any more: it said so, or its process is gone.
-  void GiveBack(const std::string& holder);
+  void Release(const std::string& holder);
   // Who has it now; empty: nobody.
   std::string holder() const;
   bool is_abstaining() const;
 
  private:
   const Clock& m_clock;
-  const Clock::Duration m_length;
-  const Clock::TimePoint m_votes_from;
+  const Clock::Duration m_duration;
+  const Clock::TimePoint m_abstains_until;
   std::string m_holder;
   Clock::TimePoint m_until;
 };
--- a/modules/coordination/mesh/vote_promise_test.cc
+++ b/modules/coordination/mesh/vote_promise_test.cc
@@ -12,14 +12,14 @@
   ManualClock clock;
   VotePromise promise(clock, milliseconds(1000));
   clock.Advance(milliseconds(1000));
-  REQUIRE(promise.Grant("a"));
-  CHECK_FALSE(promise.Grant("b"));
+  REQUIRE(promise.Promise("a"));
+  CHECK_FALSE(promise.Promise("b"));
   clock.Advance(milliseconds(900));
-  CHECK(promise.Grant("a"));
+  CHECK(promise.Promise("a"));
   clock.Advance(milliseconds(999));
-  CHECK_FALSE(promise.Grant("b"));
+  CHECK_FALSE(promise.Promise("b"));
   clock.Advance(milliseconds(1));
-  CHECK(promise.Grant("b"));
+  CHECK(promise.Promise("b"));
 }
 
 // Two nodes lead at once, and both give the same keys away: a node promised its
@@ -28,22 +28,22 @@
 TEST_CASE("a process that has just started promises nothing") {
   ManualClock clock;
   VotePromise promise(clock, milliseconds(1000));
-  CHECK_FALSE(promise.Grant("a"));
+  CHECK_FALSE(promise.Promise("a"));
   clock.Advance(milliseconds(999));
   CHECK(promise.is_abstaining());
   clock.Advance(milliseconds(1));
-  CHECK(promise.Grant("a"));
+  CHECK(promise.Promise("a"));
 }
 
 TEST_CASE("a holder that gives its vote back frees it for others") {
   ManualClock clock;
   VotePromise promise(clock, milliseconds(1000));
   clock.Advance(milliseconds(1000));
-  REQUIRE(promise.Grant("a"));
-  promise.GiveBack("b");
-  CHECK_FALSE(promise.Grant("b"));
-  promise.GiveBack("a");
-  CHECK(promise.Grant("b"));
+  REQUIRE(promise.Promise("a"));
+  promise.Release("b");
+  CHECK_FALSE(promise.Promise("b"));
+  promise.Release("a");
+  CHECK(promise.Promise("b"));
 }
 
 // All processes of a mesh end at once. Each that starts may have promised its
@@ -51,14 +51,14 @@
 TEST_CASE("a new process votes at once when the last leader is gone") {
   ManualClock clock;
   VotePromise vote(clock, milliseconds(1200));
-  CHECK_FALSE(vote.Grant("a"));
-  CHECK(vote.Grant("a", true));
+  CHECK_FALSE(vote.Promise("a"));
+  CHECK(vote.Promise("a", true));
   // It keeps the promise like any other, and renews it.
-  CHECK_FALSE(vote.Grant("b", true));
-  CHECK(vote.Grant("a"));
-  vote.GiveBack("a");
+  CHECK_FALSE(vote.Promise("b", true));
+  CHECK(vote.Promise("a"));
+  vote.Release("a");
   // Nothing has been shown of whoever leads by now.
-  CHECK_FALSE(vote.Grant("a"));
+  CHECK_FALSE(vote.Promise("a"));
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/move_coordinator.cc
+++ b/modules/coordination/move_coordinator.cc
@@ -21,7 +21,7 @@
 constexpr std::chrono::seconds kHandOffPatience{2};
 constexpr std::chrono::milliseconds kTimeBetweenPlans{200};
 // Slots that freeze again at once would be refused more than they are served.
-constexpr std::chrono::seconds kPauseAfterFailure{2};
+constexpr std::chrono::seconds kDelayAfterFailure{2};
 constexpr double kPercent = 100.0;
 constexpr std::chrono::duration<double> kMinute = std::chrono::minutes(1);
 
@@ -269,7 +269,7 @@
 }
 
 void MoveCoordinator::WaitAfterFailure() {
-  m_next_plan = m_context->now() + kPauseAfterFailure;
+  m_next_plan = m_context->now() + kDelayAfterFailure;
 }
 
 bool MoveCoordinator::IsWorkOver(const Move& move) const {
--- a/modules/coordination/slot_assigner.cc
+++ b/modules/coordination/slot_assigner.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kTurn{300};
+constexpr std::chrono::milliseconds kDelayPerRank{300};
 // Members that still have no witnesses after so many settling times are not
 // waited for.
 constexpr int kMaxSettlings = 3;
@@ -80,7 +80,7 @@
   const Clock::Duration waited = m_context->now() - *m_unowned_since;
   const Clock::Duration needed =
       AllMembersMayOwn() ? settling : settling * kMaxSettlings;
-  return waited >= needed + Rank() * kTurn;
+  return waited >= needed + Rank() * kDelayPerRank;
 }
 
 bool SlotAssigner::AllMembersMayOwn() const {
--- a/modules/coordination/snapshot_scheduler.cc
+++ b/modules/coordination/snapshot_scheduler.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // Enough for the one before to have written and for all to have read it.
-constexpr std::chrono::seconds kTurn{2};
+constexpr std::chrono::seconds kDelayPerRank{2};
 // Turns are counted up to here, so that a snapshot is not put off for long.
 constexpr std::size_t kMaxRank = 5;
 
@@ -56,7 +56,7 @@
   if (!m_due_since.has_value()) {
     m_due_since = now;
   }
-  if (now - *m_due_since >= Rank() * kTurn) {
+  if (now - *m_due_since >= Rank() * kDelayPerRank) {
     Write();
   }
 }
--- a/modules/coordination/testing/failure_player.cc
+++ b/modules/coordination/testing/failure_player.cc
@@ -10,37 +10,37 @@
 
 namespace {
 
-constexpr std::array<const char*, FailurePlayer::kFailureCount> kNames = {
-    "kill-and-restart",
-    "kill-and-replace-host",
-    "pause",
-    "partition-node",
-    "partition-zone",
-    "one-way-cut",
-    "silent-connection",
-    "unreliable-network",
-    "saturated-network",
-    "log-outage",
-    "log-slow",
-    "log-uncertain",
-    "log-cut-for-node",
-    "retention-passed",
-    "target-frozen",
-    "target-crashed",
-    "drain",
-    "cold-start",
-    "clock-jump",
-    "two-operators",
-    "rolling-restart",
-    "zone-loss",
-    "witnesses-lost",
-    "whole-mesh-restart",
-    "holder-half-cut-off"};
+constexpr std::array<const char*, FailurePlayer::kFailureCount> kActivityNames =
+    {"kill-and-restart",
+     "kill-and-replace-host",
+     "pause",
+     "partition-node",
+     "partition-zone",
+     "one-way-cut",
+     "silent-connection",
+     "unreliable-network",
+     "saturated-network",
+     "log-outage",
+     "log-slow",
+     "log-uncertain",
+     "log-cut-for-node",
+     "retention-passed",
+     "target-frozen",
+     "target-crashed",
+     "drain",
+     "cold-start",
+     "clock-jump",
+     "two-operators",
+     "rolling-restart",
+     "zone-loss",
+     "witnesses-lost",
+     "whole-mesh-restart",
+     "holder-half-cut-off"};
 
 }  // namespace
 
 std::string FailurePlayer::NameOf(Failure failure) {
-  return kNames[static_cast<std::size_t>(failure)];
+  return kActivityNames[static_cast<std::size_t>(failure)];
 }
 
 void FailurePlayer::Play(Failure failure) {
--- a/modules/coordination/testing/owned_runs.h
+++ b/modules/coordination/testing/owned_runs.h
@@ -7,10 +7,10 @@
 namespace citrongrade {
 
 // A run that the view gives to this node's target, for tests of what it holds.
-inline OwnedRun MakeOwnedRun(std::uint32_t first,
-                             std::uint32_t last,
-                             std::uint64_t fence) {
-  OwnedRun run;
+inline SlotAssignment MakeOwnedRun(std::uint32_t first,
+                                   std::uint32_t last,
+                                   std::uint64_t fence) {
+  SlotAssignment run;
   run.range = {first, last};
   run.owner = "self";
   run.fence = fence;
@@ -19,10 +19,10 @@
 }
 
 // The same run while its owner is to give it back.
-inline OwnedRun MakeMovingRun(std::uint32_t first,
-                              std::uint32_t last,
-                              std::uint64_t fence) {
-  OwnedRun run = MakeOwnedRun(first, last, fence);
+inline SlotAssignment MakeMovingRun(std::uint32_t first,
+                                    std::uint32_t last,
+                                    std::uint64_t fence) {
+  SlotAssignment run = MakeOwnedRun(first, last, fence);
   run.next = {"other", {"t-other", 0}, fence + 1};
   return run;
 }
--- a/modules/protocol/config_change_codec.cc
+++ b/modules/protocol/config_change_codec.cc
@@ -172,7 +172,7 @@
 
 void WriteService(const RoutedService& service, Message::Service::Builder out) {
   out.setName(service.name);
-  out.setIsDividedByKey(service.is_divided_by_key);
+  out.setIsDividedByKey(service.is_sharded);
   out.setHealthPath(service.health_path);
   out.setMaxConnections(service.max_connections);
 }
@@ -180,7 +180,7 @@
 RoutedService ReadService(Message::Service::Reader in) {
   RoutedService service;
   service.name = in.getName();
-  service.is_divided_by_key = in.getIsDividedByKey();
+  service.is_sharded = in.getIsDividedByKey();
   service.health_path = in.getHealthPath();
   service.max_connections = in.getMaxConnections();
   return service;
--- a/modules/protocol/mesh_message_codec.cc
+++ b/modules/protocol/mesh_message_codec.cc
@@ -32,32 +32,33 @@
 }
 
 void WriteRun(const std::string& service,
-              const OwnedRun& run,
+              const SlotAssignment& run,
               rpc::MeshOwnedRun::Builder out) {
   out.setService(service);
   WriteSpan(run.range, out.initRange());
   out.setOwner(run.owner);
-  out.setTargetId(run.life.id);
-  out.setTargetStartedUnixMs(run.life.started_unix_ms);
+  out.setTargetId(run.incarnation.id);
+  out.setTargetStartedUnixMs(run.incarnation.started_unix_ms);
   out.setFence(run.fence);
   out.setHandover(run.handover);
   out.setVersion(run.version);
   out.setNextAddress(run.next.address);
-  out.setNextTargetId(run.next.life.id);
-  out.setNextTargetStartedUnixMs(run.next.life.started_unix_ms);
+  out.setNextTargetId(run.next.incarnation.id);
+  out.setNextTargetStartedUnixMs(run.next.incarnation.started_unix_ms);
   out.setNextFence(run.next.fence);
 }
 
-OwnedRun ReadRun(rpc::MeshOwnedRun::Reader in) {
-  OwnedRun run;
+SlotAssignment ReadRun(rpc::MeshOwnedRun::Reader in) {
+  SlotAssignment run;
   run.range = ReadSpan(in.getRange());
   run.owner = in.getOwner();
-  run.life = {in.getTargetId(), in.getTargetStartedUnixMs()};
+  run.incarnation = {in.getTargetId(), in.getTargetStartedUnixMs()};
   run.fence = in.getFence();
   run.handover = in.getHandover();
   run.version = in.getVersion();
   run.next.address = in.getNextAddress();
-  run.next.life = {in.getNextTargetId(), in.getNextTargetStartedUnixMs()};
+  run.next.incarnation = {in.getNextTargetId(),
+                          in.getNextTargetStartedUnixMs()};
   run.next.fence = in.getNextFence();
   return run;
 }
@@ -69,9 +70,9 @@
   out.setService(member.service);
   out.setTargetId(member.target.id);
   out.setTargetStartedUnixMs(member.target.started_unix_ms);
-  out.setSlots(member.slots);
+  out.setSlots(member.concurrency);
   out.setState(static_cast<std::uint8_t>(member.state));
-  out.setLeaderMeritMilli(member.leader_merit_milli);
+  out.setLeaderMeritMilli(member.leader_fitness_milli);
 }
 
 MeshMember ReadMember(rpc::MeshMemberEntry::Reader in) {
@@ -81,11 +82,11 @@
   member.zone = in.getZone();
   member.service = in.getService();
   member.target = {in.getTargetId(), in.getTargetStartedUnixMs()};
-  member.slots = in.getSlots();
+  member.concurrency = in.getSlots();
   if (in.getState() > static_cast<std::uint8_t>(MeshMember::State::kDraining))
     throw MalformedMessageError("not a state of a member");
   member.state = static_cast<MeshMember::State>(in.getState());
-  member.leader_merit_milli = in.getLeaderMeritMilli();
+  member.leader_fitness_milli = in.getLeaderMeritMilli();
   return member;
 }
 
@@ -103,7 +104,7 @@
   return kj::arrayPtr(numbers.data(), numbers.size());
 }
 
-void WriteReleased(const std::vector<Heartbeat::Released>& released,
+void WriteReleased(const std::vector<Heartbeat::ReleasedRange>& released,
                    rpc::MeshHeartbeat::Builder out) {
   auto list = out.initReleased(static_cast<unsigned>(released.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
@@ -114,7 +115,7 @@
   }
 }
 
-void WriteArrivals(const std::vector<Heartbeat::SlotArrivals>& arrivals,
+void WriteArrivals(const std::vector<Heartbeat::SlotRequestCount>& arrivals,
                    rpc::MeshHeartbeat::Builder out) {
   auto list = out.initArrivals(static_cast<unsigned>(2 * arrivals.size()));
   for (unsigned i = 0; i < arrivals.size(); ++i) {
@@ -130,10 +131,10 @@
     throw MalformedMessageError("not a state of a target");
   Heartbeat::Target target;
   target.state = static_cast<Heartbeat::TargetState>(in.getTargetState());
-  target.life = {in.getTargetId(), in.getTargetStartedUnixMs()};
+  target.incarnation = {in.getTargetId(), in.getTargetStartedUnixMs()};
   target.service = in.getService();
-  target.slots = in.getSlots();
-  target.cold_ms = in.getColdMs();
+  target.concurrency = in.getSlots();
+  target.warm_up_left_ms = in.getColdMs();
   return target;
 }
 
@@ -142,10 +143,10 @@
   heartbeat.address = in.getAddress();
   heartbeat.data_address = in.getDataAddress();
   heartbeat.zone = in.getZone();
-  heartbeat.leader_merit_milli = in.getLeaderMeritMilli();
+  heartbeat.leader_fitness_milli = in.getLeaderMeritMilli();
   heartbeat.incarnation = in.getIncarnation();
   heartbeat.sequence = in.getSequence();
-  heartbeat.promises = in.getPromises();
+  heartbeat.is_vote_promised = in.getPromises();
   heartbeat.leader_nonce = in.getLeaderNonce();
   heartbeat.leader_stamp_ns = in.getLeaderStampNs();
   heartbeat.epoch = in.getEpoch();
@@ -155,7 +156,7 @@
   heartbeat.config_fetch_failed = in.getConfigFetchFailed();
   heartbeat.config_age_ms = in.getConfigAgeMs();
   heartbeat.is_leaving = in.getIsLeaving();
-  heartbeat.store_answers = in.getStoreAnswers();
+  heartbeat.is_store_answering = in.getStoreAnswers();
   heartbeat.is_urgent = in.getIsUrgent();
   heartbeat.target = ReadTarget(in);
   for (const auto released : in.getReleased()) {
@@ -165,8 +166,8 @@
   }
   const auto arrivals = in.getArrivals();
   for (unsigned i = 0; i + 1 < arrivals.size(); i += 2)
-    heartbeat.arrivals.push_back({arrivals[i], arrivals[i + 1]});
-  heartbeat.mean_work_us = in.getMeanWorkUs();
+    heartbeat.slot_request_counts.push_back({arrivals[i], arrivals[i + 1]});
+  heartbeat.mean_service_time_us = in.getMeanWorkUs();
   heartbeat.crash_suspects = ReadNumbers(in.getCrashSuspects());
   return heartbeat;
 }
@@ -187,11 +188,11 @@
   std::map<Name, std::uint16_t> m_places;
 };
 
-using ViewRuns = std::vector<ViewDelta::Run>;
+using ViewRuns = std::vector<ViewDelta::Assignment>;
 
 // Runs of one service, each without what only its owner needs.
 void WriteKeyOwners(const std::string& service,
-                    const std::vector<const OwnedRun*>& runs,
+                    const std::vector<const SlotAssignment*>& runs,
                     rpc::MeshKeyOwners::Builder out) {
   const auto count = static_cast<unsigned>(runs.size());
   Places<std::string_view> places;
@@ -200,7 +201,7 @@
   auto owner = out.initOwner(count);
   auto fence = out.initFence(count);
   for (unsigned i = 0; i < count; ++i) {
-    const OwnedRun& run = *runs[i];
+    const SlotAssignment& run = *runs[i];
     first.set(i, static_cast<std::uint16_t>(run.range.first));
     last.set(i, static_cast<std::uint16_t>(run.range.last));
     fence.set(i, run.fence);
@@ -227,7 +228,7 @@
   if (last.size() != count || owner.size() != count || fence.size() != count)
     throw MalformedMessageError("columns of different lengths");
   for (unsigned i = 0; i < count; ++i) {
-    OwnedRun run;
+    SlotAssignment run;
     run.range = {first[i], last[i]};
     CheckRange(run.range);
     run.fence = fence[i];
@@ -242,17 +243,17 @@
 
 // The receiver's own runs in full, those of others in columns.
 void WriteViewRuns(const ViewRuns& runs, rpc::MeshHeartbeatReply::Builder out) {
-  std::vector<const ViewDelta::Run*> full;
-  std::map<std::string, std::vector<const OwnedRun*>> others;
-  for (const ViewDelta::Run& run : runs) {
-    if (run.run.life.is_known())
+  std::vector<const ViewDelta::Assignment*> full;
+  std::map<std::string, std::vector<const SlotAssignment*>> others;
+  for (const ViewDelta::Assignment& run : runs) {
+    if (run.assignment.incarnation.is_known())
       full.push_back(&run);
     else
-      others[run.service].push_back(&run.run);
+      others[run.service].push_back(&run.assignment);
   }
   auto list = out.initRuns(static_cast<unsigned>(full.size()));
   for (unsigned i = 0; i < list.size(); ++i)
-    WriteRun(full[i]->service, full[i]->run, list[i]);
+    WriteRun(full[i]->service, full[i]->assignment, list[i]);
   auto owners = out.initOwners(static_cast<unsigned>(others.size()));
   unsigned next = 0;
   for (const auto& [service, owned] : others)
@@ -268,17 +269,17 @@
   reply.nonce = in.getNonce();
   reply.stamp_ns = in.getStampNs();
   reply.lease_ms = in.getLeaseMs();
-  reply.longest_lease_ms = in.getLongestLeaseMs();
-  reply.follow_store = in.getFollowStore();
+  reply.max_lease_ms = in.getLongestLeaseMs();
+  reply.reads_store = in.getFollowStore();
   reply.view.epoch = in.getViewEpoch();
   reply.view.version = in.getViewVersion();
   reply.view.is_whole = in.getViewIsWhole();
   for (const auto member : in.getMembers())
     reply.view.members.push_back(ReadMember(member));
   for (const auto run : in.getRuns())
-    reply.view.runs.push_back({run.getService(), ReadRun(run)});
+    reply.view.assignments.push_back({run.getService(), ReadRun(run)});
   for (const auto owners : in.getOwners())
-    ReadKeyOwners(owners, reply.view.runs);
+    ReadKeyOwners(owners, reply.view.assignments);
   reply.crash_suspects = ReadNumbers(in.getCrashSuspects());
   reply.config_version = in.getConfigVersion();
   reply.config_source = in.getConfigSource();
@@ -287,7 +288,7 @@
 }
 
 // A life of a target at its node, as the columns of the record name it.
-using Holder = std::pair<std::string, TargetLife>;
+using Holder = std::pair<std::string, TargetIncarnation>;
 
 void WriteHolders(const Places<Holder>& places, rpc::StoredKeys::Builder out) {
   auto holders = out.initHolders(places.count());
@@ -302,7 +303,7 @@
 void WriteStoredKeys(const std::string& service,
                      const KeyTable& table,
                      rpc::StoredKeys::Builder out) {
-  const std::vector<OwnedRun>& runs = table.runs();
+  const std::vector<SlotAssignment>& runs = table.assignments();
   const auto count = static_cast<unsigned>(runs.size());
   auto first = out.initFirst(count);
   auto owner = out.initOwner(count);
@@ -313,15 +314,15 @@
   Places<Holder> places;
   std::string handovers;
   for (unsigned i = 0; i < count; ++i) {
-    const OwnedRun& run = runs[i];
+    const SlotAssignment& run = runs[i];
     first.set(i, static_cast<std::uint16_t>(run.range.first));
     if (run.has_owner())
-      owner.set(i, places.PlaceOf({run.owner, run.life}));
+      owner.set(i, places.PlaceOf({run.owner, run.incarnation}));
     fence.set(i, run.fence);
     handovers += run.handover;
     handover_length.set(i, static_cast<std::uint16_t>(run.handover.size()));
     if (run.is_moving())
-      next.set(i, places.PlaceOf({run.next.address, run.next.life}));
+      next.set(i, places.PlaceOf({run.next.address, run.next.incarnation}));
     next_fence.set(i, run.next.fence);
   }
   out.setService(service);
@@ -332,9 +333,9 @@
 std::vector<Holder> ReadHolders(rpc::StoredKeys::Reader in) {
   std::vector<Holder> holders{{}};
   for (const auto holder : in.getHolders()) {
-    holders.emplace_back(
-        holder.getAddress(),
-        TargetLife{holder.getTargetId(), holder.getTargetStartedUnixMs()});
+    holders.emplace_back(holder.getAddress(),
+                         TargetIncarnation{holder.getTargetId(),
+                                           holder.getTargetStartedUnixMs()});
   }
   return holders;
 }
@@ -361,20 +362,20 @@
   std::size_t handovers_read = 0;
   KeyTable table;
   for (unsigned i = 0; i < count; ++i) {
-    OwnedRun run;
+    SlotAssignment run;
     const std::uint32_t end = i + 1 < count ? first[i + 1] : kSlotCount;
     if (first[i] >= end)
       throw MalformedMessageError("runs that are not in order");
     run.range = {first[i], end - 1};
     CheckRange(run.range);
-    std::tie(run.owner, run.life) = holder_at(owner[i]);
+    std::tie(run.owner, run.incarnation) = holder_at(owner[i]);
     run.fence = fence[i];
     const std::size_t length = handover_length[i];
     if (handovers_read + length > handovers.size())
       throw MalformedMessageError("handovers that break off");
     run.handover = handovers.substr(handovers_read, length);
     handovers_read += length;
-    std::tie(run.next.address, run.next.life) = holder_at(next[i]);
+    std::tie(run.next.address, run.next.incarnation) = holder_at(next[i]);
     run.next.fence = next_fence[i];
     table.Assign(run);
   }
@@ -385,7 +386,7 @@
   MeshRecord record;
   record.epoch = in.getEpoch();
   record.leader = in.getLeader();
-  record.longest_lease = std::chrono::milliseconds(in.getLongestLeaseMs());
+  record.max_lease = std::chrono::milliseconds(in.getLongestLeaseMs());
   for (const auto voter : in.getVoters())
     record.voters.emplace_back(voter);
   for (const auto keys : in.getKeys())
@@ -405,10 +406,10 @@
   out.setAddress(heartbeat.address);
   out.setDataAddress(heartbeat.data_address);
   out.setZone(heartbeat.zone);
-  out.setLeaderMeritMilli(heartbeat.leader_merit_milli);
+  out.setLeaderMeritMilli(heartbeat.leader_fitness_milli);
   out.setIncarnation(heartbeat.incarnation);
   out.setSequence(heartbeat.sequence);
-  out.setPromises(heartbeat.promises);
+  out.setPromises(heartbeat.is_vote_promised);
   out.setLeaderNonce(heartbeat.leader_nonce);
   out.setLeaderStampNs(heartbeat.leader_stamp_ns);
   out.setEpoch(heartbeat.epoch);
@@ -418,17 +419,17 @@
   out.setConfigFetchFailed(heartbeat.config_fetch_failed);
   out.setConfigAgeMs(heartbeat.config_age_ms);
   out.setIsLeaving(heartbeat.is_leaving);
-  out.setStoreAnswers(heartbeat.store_answers);
+  out.setStoreAnswers(heartbeat.is_store_answering);
   out.setIsUrgent(heartbeat.is_urgent);
   out.setTargetState(static_cast<std::uint8_t>(heartbeat.target.state));
-  out.setTargetId(heartbeat.target.life.id);
-  out.setTargetStartedUnixMs(heartbeat.target.life.started_unix_ms);
+  out.setTargetId(heartbeat.target.incarnation.id);
+  out.setTargetStartedUnixMs(heartbeat.target.incarnation.started_unix_ms);
   out.setService(heartbeat.target.service);
-  out.setSlots(heartbeat.target.slots);
-  out.setColdMs(heartbeat.target.cold_ms);
+  out.setSlots(heartbeat.target.concurrency);
+  out.setColdMs(heartbeat.target.warm_up_left_ms);
   WriteReleased(heartbeat.released, out);
-  WriteArrivals(heartbeat.arrivals, out);
-  out.setMeanWorkUs(heartbeat.mean_work_us);
+  WriteArrivals(heartbeat.slot_request_counts, out);
+  out.setMeanWorkUs(heartbeat.mean_service_time_us);
   out.setCrashSuspects(NumbersOf(heartbeat.crash_suspects));
   return Pack(message);
 }
@@ -443,8 +444,8 @@
   out.setNonce(reply.nonce);
   out.setStampNs(reply.stamp_ns);
   out.setLeaseMs(reply.lease_ms);
-  out.setLongestLeaseMs(reply.longest_lease_ms);
-  out.setFollowStore(reply.follow_store);
+  out.setLongestLeaseMs(reply.max_lease_ms);
+  out.setFollowStore(reply.reads_store);
   out.setViewEpoch(reply.view.epoch);
   out.setViewVersion(reply.view.version);
   out.setViewIsWhole(reply.view.is_whole);
@@ -452,7 +453,7 @@
       out.initMembers(static_cast<unsigned>(reply.view.members.size()));
   for (unsigned i = 0; i < members.size(); ++i)
     WriteMember(reply.view.members[i], members[i]);
-  WriteViewRuns(reply.view.runs, out);
+  WriteViewRuns(reply.view.assignments, out);
   out.setCrashSuspects(NumbersOf(reply.crash_suspects));
   out.setConfigVersion(reply.config_version);
   out.setConfigSource(reply.config_source);
@@ -464,9 +465,9 @@
   capnp::MallocMessageBuilder message;
   auto out = message.initRoot<rpc::MeshVoteRequest>();
   out.setCandidate(request.candidate);
-  out.setGivesBack(request.gives_back);
-  out.setIsHello(request.is_hello);
-  out.setReplacesGoneLeader(request.replaces_gone_leader);
+  out.setGivesBack(request.returns_vote);
+  out.setIsHello(request.is_leader_announcement);
+  out.setReplacesGoneLeader(request.is_previous_leader_gone);
   return Pack(message);
 }
 
@@ -483,8 +484,7 @@
   auto out = message.initRoot<rpc::StoredMesh>();
   out.setEpoch(record.epoch);
   out.setLeader(record.leader);
-  out.setLongestLeaseMs(
-      static_cast<std::uint32_t>(record.longest_lease.count()));
+  out.setLongestLeaseMs(static_cast<std::uint32_t>(record.max_lease.count()));
   auto voters = out.initVoters(static_cast<unsigned>(record.voters.size()));
   for (unsigned i = 0; i < voters.size(); ++i)
     voters.set(i, record.voters[i]);
