--- a/modules/transport/mesh/target_gateway.cc
+++ b/modules/transport/mesh/target_gateway.cc
@@ -19,9 +19,9 @@
 #include "modules/transport/async/async_connection_pool.h"
 #include "modules/transport/async/request_context.h"
 #include "modules/transport/http_errors.h"
-#include "modules/transport/mesh/connection_headers.h"
-#include "modules/transport/mesh/target_dialect.h"
-#include "modules/transport/mesh/target_keeper.h"
+#include "modules/transport/mesh/hop_by_hop_headers.h"
+#include "modules/transport/mesh/target_controller.h"
+#include "modules/transport/mesh/wire_protocol.h"
 
 namespace citrongrade {
 
@@ -31,24 +31,24 @@
 
 // A connection that was idle for longer may be closed by the target at the
 // moment that a request goes out on it, and nobody could tell whether it ran.
-constexpr milliseconds kIdleForOnce{900};
-constexpr milliseconds kIdleForIdempotent{4000};
+constexpr milliseconds kMaxIdleNonIdempotent{900};
+constexpr milliseconds kMaxIdleIdempotent{4000};
 // For the answer's way back to the caller's node.
-constexpr milliseconds kWayBack{5};
+constexpr milliseconds kReplyAllowance{5};
 // Connections that break within this time broke for the same reason.
-constexpr milliseconds kOneCrash{1000};
+constexpr milliseconds kCrashWindow{1000};
 // A target confirms a grant in a few milliseconds; one that leaves it
 // unanswered is asked again after HoldBook::kCallTimeout.
-constexpr milliseconds kAwaitGrant{150};
-constexpr milliseconds kGrantPoll{8};
+constexpr milliseconds kGrantWaitTimeout{150};
+constexpr milliseconds kGrantPollInterval{8};
 constexpr milliseconds kRetryAfterMove{60};
 // A hold that is renewed in time has at least so much left. With less, work
 // that usually takes longer is not begun: the target would end it as failed.
-constexpr milliseconds kRenewedHold{600};
+constexpr milliseconds kMinRenewedHold{600};
 constexpr milliseconds kRetryAfterTargetLoss{300};
 constexpr milliseconds kRetryAfterRefusal{100};
 
-std::uint64_t MarkOf(const HttpRequest& request) {
+std::uint64_t ComputeFingerprint(const HttpRequest& request) {
   std::uint64_t mark =
       XXH3_64bits(request.target.data(), request.target.size());
   mark =
@@ -59,25 +59,25 @@
 }  // namespace
 
 // A request that waits its turn.
-struct TargetGateway::Pending {
-  explicit Pending(boost::asio::io_context& loop) : wakeup(loop) {}
+struct TargetGateway::WaitingRequest {
+  explicit WaitingRequest(boost::asio::io_context& loop) : wakeup(loop) {}
 
   boost::asio::steady_timer wakeup;
   std::optional<TargetAdmission::Verdict> verdict;
 };
 
 // A place at the target, given back however the request ends.
-class TargetGateway::Admitted {
+class TargetGateway::AdmissionGuard {
  public:
-  Admitted(TargetGateway& gateway, RequestTicket ticket)
+  AdmissionGuard(TargetGateway& gateway, RequestTicket ticket)
       : m_gateway(gateway), m_ticket(ticket) {}
-  ~Admitted() {
-    m_gateway.m_running_marks.erase(m_ticket);
+  ~AdmissionGuard() {
+    m_gateway.m_running_fingerprints.erase(m_ticket);
     m_gateway.m_admission.OnFinished(m_ticket, m_work);
-    m_gateway.Resume();
+    m_gateway.ResumeWaiting();
   }
-  Admitted(const Admitted&) = delete;
-  Admitted& operator=(const Admitted&) = delete;
+  AdmissionGuard(const AdmissionGuard&) = delete;
+  AdmissionGuard& operator=(const AdmissionGuard&) = delete;
 
   void SetWork(Clock::Duration work) { m_work = work; }
 
@@ -89,8 +89,8 @@
 
 TargetGateway::TargetGateway(boost::asio::io_context& loop,
                              const Clock& clock,
-                             const TargetDialect& dialect,
-                             TargetKeeper& keeper,
+                             const WireProtocol& dialect,
+                             TargetController& keeper,
                              AsyncConnectionPool& pool)
     : m_loop(loop),
       m_clock(clock),
@@ -98,265 +98,269 @@
       m_keeper(keeper),
       m_pool(pool),
       m_admission(clock, TargetAdmission::Parameters()),
-      m_poison(std::make_unique<PoisonDetector>(clock,
-                                                PoisonDetector::Parameters())) {
-}
+      m_poison_detector(
+          std::make_unique<PoisonDetector>(clock,
+                                           PoisonDetector::Parameters())) {}
 
 TargetGateway::~TargetGateway() = default;
 
 milliseconds TargetGateway::RetryAfterMove() const {
   // Work that runs on the key has to end before.
-  return std::max(kRetryAfterMove,
-                  std::chrono::ceil<milliseconds>(m_admission.mean_work()));
+  return std::max(kRetryAfterMove, std::chrono::ceil<milliseconds>(
+                                       m_admission.mean_service_time()));
 }
 
-std::optional<WorkResult> TargetGateway::FindObstacle(
-    const WorkOrder& order) const {
+std::optional<ForwardResult> TargetGateway::CheckServable(
+    const ForwardMetadata& order) const {
   if (m_keeper.service() != order.service) {
-    return WorkResult::NotRun(RequestErrorCode::kNoOwner,
-                              "this node's target is of another service",
-                              kRetryAfterMove);
+    return ForwardResult::NotRun(RequestErrorCode::kNoOwner,
+                                 "this node's target is of another service",
+                                 kRetryAfterMove);
   }
   if (!m_keeper.IsServing()) {
-    return WorkResult::NotRun(RequestErrorCode::kTargetUnavailable,
-                              "the target is gone or leaves",
-                              kRetryAfterTargetLoss);
+    return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
+                                 "the target is gone or leaves",
+                                 kRetryAfterTargetLoss);
   }
   if (!order.key)
     return std::nullopt;
   const std::uint32_t slot = SlotOfKey(*order.key);
-  const Clock::Duration hold_left = m_keeper.HoldLeft(slot);
+  const Clock::Duration hold_left = m_keeper.RemainingHold(slot);
   if (hold_left == Clock::Duration::zero()) {
-    if (m_keeper.IsLeaving(slot)) {
-      return WorkResult::NotRun(RequestErrorCode::kLeaseLost,
-                                "the key moves to another target",
-                                RetryAfterMove());
+    if (m_keeper.IsBeingReleased(slot)) {
+      return ForwardResult::NotRun(RequestErrorCode::kLeaseLost,
+                                   "the key moves to another target",
+                                   RetryAfterMove());
     }
-    return WorkResult::NotRun(RequestErrorCode::kNoOwner,
-                              "the target does not hold the key",
-                              RetryAfterMove());
+    return ForwardResult::NotRun(RequestErrorCode::kNoOwner,
+                                 "the target does not hold the key",
+                                 RetryAfterMove());
   }
-  const Clock::Duration least =
-      std::min<Clock::Duration>(kRenewedHold, m_admission.WorkOf(order.kind));
+  const Clock::Duration least = std::min<Clock::Duration>(
+      kMinRenewedHold, m_admission.ExpectedServiceTime(order.route));
   if (hold_left < least) {
-    return WorkResult::NotRun(RequestErrorCode::kLeaseLost,
-                              "the target's hold would end before the work",
-                              RetryAfterMove());
+    return ForwardResult::NotRun(RequestErrorCode::kLeaseLost,
+                                 "the target's hold would end before the work",
+                                 RetryAfterMove());
   }
   return std::nullopt;
 }
 
-std::optional<milliseconds> TargetGateway::HoldLeft(
-    const WorkOrder& order) const {
+std::optional<milliseconds> TargetGateway::RemainingHold(
+    const ForwardMetadata& order) const {
   if (!order.key)
     return std::nullopt;
   return std::chrono::floor<milliseconds>(
-      m_keeper.HoldLeft(SlotOfKey(*order.key)));
+      m_keeper.RemainingHold(SlotOfKey(*order.key)));
 }
 
-Task<WorkResult> TargetGateway::Run(HttpRequest request,
-                                    WorkOrder order,
-                                    RequestContext& context) {
+Task<ForwardResult> TargetGateway::Run(HttpRequest request,
+                                       ForwardMetadata order,
+                                       RequestContext& context) {
   ++m_counts.offered;
   if (order.key)
     ++m_arrivals[SlotOfKey(*order.key)];
   const Clock::TimePoint now = m_clock.Now();
   const Clock::TimePoint deadline = now + order.time_left;
-  if (order.key && m_keeper.IsComing(SlotOfKey(*order.key)))
+  if (order.key && m_keeper.IsAwaitingGrant(SlotOfKey(*order.key)))
     co_await AwaitGrant(order);
-  if (auto obstacle = FindObstacle(order)) {
-    Count(*obstacle);
+  if (auto obstacle = CheckServable(order)) {
+    CountResult(*obstacle);
     co_return *obstacle;
   }
-  const std::uint64_t mark = MarkOf(request);
-  if (m_poison->IsQuarantined(RequestFingerprint(mark))) {
-    auto refusal = WorkResult::NotRun(RequestErrorCode::kQuarantined,
-                                      "its runs crashed targets");
-    Count(refusal);
+  const std::uint64_t mark = ComputeFingerprint(request);
+  if (m_poison_detector->IsQuarantined(RequestFingerprint(mark))) {
+    auto refusal = ForwardResult::NotRun(RequestErrorCode::kQuarantined,
+                                         "its runs crashed targets");
+    CountResult(refusal);
     co_return refusal;
   }
-  m_admission.SetSlots(m_keeper.slots());
+  m_admission.SetConcurrency(m_keeper.concurrency());
   const RequestTicket ticket = m_next_ticket;
   m_next_ticket = m_next_ticket.Next();
-  WorkResult turn = co_await AwaitTurn(order, ticket, context);
+  ForwardResult turn = co_await AwaitAdmission(order, ticket, context);
   turn.times.queue = std::chrono::floor<milliseconds>(m_clock.Now() - now);
   if (!turn.has_answer()) {
-    Count(turn);
+    CountResult(turn);
     co_return turn;
   }
-  m_running_marks[ticket] = mark;
+  m_running_fingerprints[ticket] = mark;
   const Clock::TimePoint admitted = m_clock.Now();
   std::optional<Clock::TimePoint> passed;
-  WorkResult result = co_await Pass(std::move(request), order, deadline, ticket,
-                                    passed, context);
+  ForwardResult result = co_await ForwardToTarget(
+      std::move(request), order, deadline, ticket, passed, context);
   const Clock::TimePoint ended = m_clock.Now();
   result.times.queue = turn.times.queue;
-  result.times.door =
+  result.times.target_connect =
       std::chrono::floor<milliseconds>(passed.value_or(ended) - admitted);
   result.times.target =
       std::chrono::floor<milliseconds>(ended - passed.value_or(ended));
-  Count(result);
+  CountResult(result);
   co_return result;
 }
 
-Task<> TargetGateway::AwaitGrant(const WorkOrder& order) {
+Task<> TargetGateway::AwaitGrant(const ForwardMetadata& order) {
   const std::uint32_t slot = SlotOfKey(*order.key);
   const Clock::TimePoint give_up =
-      m_clock.Now() + std::min(kAwaitGrant, order.time_left / 3);
+      m_clock.Now() + std::min(kGrantWaitTimeout, order.time_left / 3);
   boost::asio::steady_timer timer(m_loop);
-  while (m_keeper.IsComing(slot) && m_clock.Now() < give_up) {
-    timer.expires_after(kGrantPoll);
+  while (m_keeper.IsAwaitingGrant(slot) && m_clock.Now() < give_up) {
+    timer.expires_after(kGrantPollInterval);
     co_await timer.async_wait(boost::asio::use_awaitable);
   }
 }
 
-Task<WorkResult> TargetGateway::AwaitTurn(const WorkOrder& order,
-                                          RequestTicket ticket,
-                                          RequestContext& context) {
+Task<ForwardResult> TargetGateway::AwaitAdmission(const ForwardMetadata& order,
+                                                  RequestTicket ticket,
+                                                  RequestContext& context) {
   const Clock::TimePoint now = m_clock.Now();
   TargetAdmission::Request request;
   request.ticket = ticket;
-  request.kind = order.kind;
+  request.route = order.route;
   request.priority = order.priority;
-  request.aim = now + order.aim_left;
+  request.soft_deadline = now + order.soft_time_left;
   request.deadline = now + order.time_left;
   TargetAdmission::Verdict verdict = m_admission.Offer(request);
-  if (verdict == TargetAdmission::Verdict::kWaits) {
-    auto pending = std::make_shared<Pending>(m_loop);
+  if (verdict == TargetAdmission::Verdict::kQueued) {
+    auto pending = std::make_shared<WaitingRequest>(m_loop);
     pending->wakeup.expires_after(order.time_left);
-    m_pending.emplace(ticket, pending);
+    m_waiting_requests.emplace(ticket, pending);
     context.SetStop([pending] { pending->wakeup.cancel(); });
     boost::system::error_code ignored;
     co_await pending->wakeup.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
     context.ClearStop();
-    m_pending.erase(ticket);
+    m_waiting_requests.erase(ticket);
     if (!pending->verdict)
       m_admission.Withdraw(ticket);
     verdict = pending->verdict.value_or(TargetAdmission::Verdict::kRefused);
   }
   if (verdict == TargetAdmission::Verdict::kAdmitted) {
-    WorkResult admitted;
+    ForwardResult admitted;
     admitted.outcome = RequestOutcome::kDone;
     co_return admitted;
   }
-  co_return WorkResult::NotRun(
+  co_return ForwardResult::NotRun(
       RequestErrorCode::kOverloaded, "it can't be done in time",
       std::chrono::ceil<milliseconds>(m_admission.DrainTime()));
 }
 
-Task<WorkResult> TargetGateway::Pass(HttpRequest request,
-                                     const WorkOrder& order,
-                                     Clock::TimePoint deadline,
-                                     RequestTicket ticket,
-                                     std::optional<Clock::TimePoint>& passed,
-                                     RequestContext& context) {
-  Admitted place(*this, ticket);
+Task<ForwardResult> TargetGateway::ForwardToTarget(
+    HttpRequest request,
+    const ForwardMetadata& order,
+    Clock::TimePoint deadline,
+    RequestTicket ticket,
+    std::optional<Clock::TimePoint>& passed,
+    RequestContext& context) {
+  AdmissionGuard place(*this, ticket);
   const HttpAddress address = m_keeper.address();
   std::unique_ptr<AsyncHttpConnection> connection;
   try {
-    connection = co_await m_pool.Take(
-        address, order.is_idempotent ? kIdleForIdempotent : kIdleForOnce);
+    connection = co_await m_pool.Take(address, order.is_idempotent
+                                                   ? kMaxIdleIdempotent
+                                                   : kMaxIdleNonIdempotent);
   } catch (const ConnectRefusedError& error) {
     m_keeper.OnRefused();
-    co_return WorkResult::NotRun(RequestErrorCode::kTargetUnavailable,
-                                 error.what(), kRetryAfterTargetLoss);
+    co_return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
+                                    error.what(), kRetryAfterTargetLoss);
   } catch (const ConnectError& error) {
     m_keeper.OnCallEnded(false);
-    co_return WorkResult::NotRun(RequestErrorCode::kTargetUnavailable,
-                                 error.what(), kRetryAfterTargetLoss);
+    co_return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
+                                    error.what(), kRetryAfterTargetLoss);
   }
   // It may have waited: much can have changed since it was let in.
   if (context.LooksGone()) {
     m_pool.GiveBack(address, std::move(connection));
-    co_return WorkResult::NotRun(RequestErrorCode::kCancelled,
-                                 "its caller is gone");
+    co_return ForwardResult::NotRun(RequestErrorCode::kCancelled,
+                                    "its caller is gone");
   }
-  if (auto obstacle = FindObstacle(order)) {
+  if (auto obstacle = CheckServable(order)) {
     m_pool.GiveBack(address, std::move(connection));
     co_return *obstacle;
   }
   const Clock::TimePoint started = m_clock.Now();
-  const std::optional<milliseconds> hold_left = HoldLeft(order);
+  const std::optional<milliseconds> hold_left = RemainingHold(order);
   const auto left =
-      std::chrono::floor<milliseconds>(deadline - started) - kWayBack;
+      std::chrono::floor<milliseconds>(deadline - started) - kReplyAllowance;
   if (left <= milliseconds(0)) {
     m_pool.GiveBack(address, std::move(connection));
-    co_return WorkResult::NotRun(RequestErrorCode::kDeadlinePassed,
-                                 "its time was over before its turn");
+    co_return ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
+                                    "its time was over before its turn");
   }
-  TargetAddressing addressing;
+  TargetRequestInfo addressing;
   addressing.request_id = order.request_id;
   addressing.time_left = left;
-  addressing.expected_target = m_keeper.life().id;
+  addressing.expected_target = m_keeper.incarnation().id;
   addressing.origin_service = order.origin_service;
   context.SetStop([&connection] { connection->Close(); });
   passed = started;
   try {
     AsyncHttpConnection::IsAnswer is_answer =
         [this, id = order.request_id](const HttpResponse& answer) {
-          const TargetAnswerFacts facts = m_dialect.ReadAnswer(answer);
+          const TargetResponseInfo facts = m_dialect.ReadTargetResponse(answer);
           return facts.request_id == id ||
                  (facts.request_id.empty() && facts.did_not_run);
         };
-    HttpRequest outgoing = m_dialect.ForTarget(std::move(request), addressing);
+    HttpRequest outgoing =
+        m_dialect.MakeTargetRequest(std::move(request), addressing);
     HttpResponse response = co_await connection->Call(std::move(outgoing), left,
                                                       std::move(is_answer));
     context.ClearStop();
     m_keeper.OnCallEnded(true);
-    const TargetAnswerFacts facts = m_dialect.ReadAnswer(response);
+    const TargetResponseInfo facts = m_dialect.ReadTargetResponse(response);
     if (!facts.did_not_run) {
       place.SetWork(m_clock.Now() - started);
-      m_has_measured = true;
-      if (facts.is_genuine)
-        m_keeper.OnLifeShown();
-      m_poison->OnEnded(RequestFingerprint(m_running_marks[ticket]));
+      m_has_measured_work = true;
+      if (facts.is_authentic)
+        m_keeper.OnIncarnationConfirmed();
+      m_poison_detector->OnFinished(
+          RequestFingerprint(m_running_fingerprints[ticket]));
     }
     m_pool.GiveBack(address, std::move(connection));
-    WorkResult result = Judge(std::move(response), facts);
+    ForwardResult result = ClassifyResponse(std::move(response), facts);
     result.hold_left = hold_left;
     co_return result;
   } catch (const ResponseTimeoutError& error) {
     context.ClearStop();
     m_keeper.OnCallEnded(false);
-    co_return WorkResult::Unknown(RequestErrorCode::kTargetTimeout,
-                                  error.what());
+    co_return ForwardResult::Unknown(RequestErrorCode::kTargetTimeout,
+                                     error.what());
   } catch (const HttpError& error) {
     context.ClearStop();
     if (context.is_caller_gone()) {
-      co_return WorkResult::Unknown(RequestErrorCode::kCancelled,
-                                    "its caller is gone");
+      co_return ForwardResult::Unknown(RequestErrorCode::kCancelled,
+                                       "its caller is gone");
     }
-    NoteBroken(m_running_marks[ticket]);
-    co_return WorkResult::Unknown(RequestErrorCode::kTargetFailed,
-                                  error.what());
+    OnConnectionBroken(m_running_fingerprints[ticket]);
+    co_return ForwardResult::Unknown(RequestErrorCode::kTargetFailed,
+                                     error.what());
   }
 }
 
-WorkResult TargetGateway::Judge(HttpResponse response,
-                                const TargetAnswerFacts& facts) {
+ForwardResult TargetGateway::ClassifyResponse(HttpResponse response,
+                                              const TargetResponseInfo& facts) {
   if (facts.did_not_run) {
-    WorkResult refused = WorkResult::NotRun(
+    ForwardResult refused = ForwardResult::NotRun(
         facts.is_misdirected ? RequestErrorCode::kLeaseLost
                              : RequestErrorCode::kTargetRefused,
         "the target refused it without running it", kRetryAfterRefusal);
-    refused.has_arrived = true;
+    refused.reached_target = true;
     return refused;
   }
-  if (!facts.is_genuine) {
-    return WorkResult::Unknown(RequestErrorCode::kTruncatedAnswer,
-                               "the answer lacks the target's mark");
+  if (!facts.is_authentic) {
+    return ForwardResult::Unknown(RequestErrorCode::kTruncatedAnswer,
+                                  "the answer lacks the target's mark");
   }
-  StripConnectionHeaders(response.head.headers);
-  return WorkResult::Answered(std::move(response));
+  RemoveHopByHopHeaders(response.head.headers);
+  return ForwardResult::Answered(std::move(response));
 }
 
-void TargetGateway::Resume() {
+void TargetGateway::ResumeWaiting() {
   const TargetAdmission::Changes changes = m_admission.Poll();
   const auto wake = [this](RequestTicket ticket,
                            TargetAdmission::Verdict verdict) {
-    const auto found = m_pending.find(ticket);
-    if (found == m_pending.end()) {
+    const auto found = m_waiting_requests.find(ticket);
+    if (found == m_waiting_requests.end()) {
       // Its caller went at this very moment.
       if (verdict == TargetAdmission::Verdict::kAdmitted)
         m_admission.OnFinished(ticket, std::nullopt);
@@ -372,17 +376,17 @@
 }
 
 void TargetGateway::Tick() {
-  Resume();
+  ResumeWaiting();
 }
 
-void TargetGateway::NoteBroken(std::uint64_t mark) {
+void TargetGateway::OnConnectionBroken(std::uint64_t mark) {
   const Clock::TimePoint now = m_clock.Now();
-  std::erase_if(m_broken, [now](const Broken& broken) {
-    return now - broken.when > kOneCrash;
+  std::erase_if(m_broken_connections, [now](const BrokenConnection& broken) {
+    return now - broken.when > kCrashWindow;
   });
-  if (m_broken.empty())
+  if (m_broken_connections.empty())
     boost::asio::co_spawn(m_loop, ProbeTarget(), boost::asio::detached);
-  m_broken.push_back({mark, now});
+  m_broken_connections.push_back({mark, now});
 }
 
 Task<> TargetGateway::ProbeTarget() {
@@ -399,16 +403,17 @@
 
 void TargetGateway::OnTargetLost() {
   std::vector<RequestFingerprint> suspects;
-  for (const Broken& broken : m_broken)
-    suspects.emplace_back(broken.mark);
-  m_broken.clear();
-  for (const auto& [ticket, mark] : m_running_marks)
+  for (const BrokenConnection& broken : m_broken_connections)
+    suspects.emplace_back(broken.fingerprint);
+  m_broken_connections.clear();
+  for (const auto& [ticket, mark] : m_running_fingerprints)
     suspects.emplace_back(mark);
-  m_poison->OnCrash(suspects);
+  m_poison_detector->OnCrash(suspects);
 }
 
-std::vector<Heartbeat::SlotArrivals> TargetGateway::TakeArrivals() {
-  std::vector<Heartbeat::SlotArrivals> arrivals;
+std::vector<Heartbeat::SlotRequestCount>
+TargetGateway::TakeSlotRequestCounts() {
+  std::vector<Heartbeat::SlotRequestCount> arrivals;
   arrivals.reserve(m_arrivals.size());
   for (const auto& [slot, count] : m_arrivals)
     arrivals.push_back({slot, count});
@@ -418,7 +423,7 @@
 
 std::vector<std::uint64_t> TargetGateway::TakeCrashSuspects() {
   std::vector<std::uint64_t> marks;
-  for (const RequestFingerprint mark : m_poison->TakeReports())
+  for (const RequestFingerprint mark : m_poison_detector->TakeReports())
     marks.push_back(mark.value());
   return marks;
 }
@@ -429,19 +434,19 @@
   marks.reserve(suspects.size());
   for (const std::uint64_t suspect : suspects)
     marks.emplace_back(suspect);
-  m_poison->Merge(marks);
+  m_poison_detector->MergePeerReports(marks);
 }
 
-std::uint32_t TargetGateway::mean_work_us() const {
-  if (!m_has_measured)
+std::uint32_t TargetGateway::mean_service_time_us() const {
+  if (!m_has_measured_work)
     return 0;
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(
-          m_admission.mean_work())
+          m_admission.mean_service_time())
           .count());
 }
 
-void TargetGateway::Count(const WorkResult& result) {
+void TargetGateway::CountResult(const ForwardResult& result) {
   switch (result.outcome) {
     case RequestOutcome::kDone:
       ++m_counts.answered;
--- a/modules/transport/node_dump.cc
+++ b/modules/transport/node_dump.cc
@@ -114,7 +114,7 @@
 json ToJson(const TargetAnnouncement& target) {
   return {{"service", target.service.ToString()},
           {"address", target.address},
-          {"slots", target.slots},
+          {"slots", target.concurrency},
           {"connections", target.connections},
           {"checks_grants", target.checks_grants},
           {"state", ToString(target.state)}};
--- a/modules/transport/route_chooser.cc
+++ b/modules/transport/route_chooser.cc
@@ -86,7 +86,7 @@
 
 void RouteChooser::Implementation::Service::UpdateEligibility(
     const TargetId& target) {
-  const bool eligible = ejection.MayReceive(target);
+  const bool eligible = ejection.IsEligible(target);
   short_picker.SetEligible(target, eligible);
   long_picker.SetEligible(target, eligible);
 }
@@ -162,7 +162,7 @@
 void RouteChooser::OnFinished(const ServiceId& service,
                               const Route& route,
                               WorkClass work_class,
-                              RunOutcome outcome,
+                              TargetCallOutcome outcome,
                               Clock::Duration latency) {
   Implementation& self = *m_implementation;
   const std::lock_guard lock(self.mutex);
@@ -176,13 +176,13 @@
 
 void RouteChooser::OnFirstTry(const ServiceId& service) {
   const std::lock_guard lock(m_implementation->mutex);
-  m_implementation->Find(service).budget.OnFirstTry();
+  m_implementation->Find(service).budget.OnFirstAttempt();
 }
 
 bool RouteChooser::TryRetry(const ServiceId& service,
                             RetryAllowance allowance) {
   const std::lock_guard lock(m_implementation->mutex);
-  return m_implementation->Find(service).budget.TryRetry(allowance);
+  return m_implementation->Find(service).budget.TryAcquire(allowance);
 }
 
 }  // namespace citrongrade
--- a/modules/transport/route_chooser.h
+++ b/modules/transport/route_chooser.h
@@ -6,7 +6,7 @@
 
 #include "modules/coordination/clock.h"
 #include "modules/coordination/load/retry_allowance.h"
-#include "modules/coordination/load/run_outcome.h"
+#include "modules/coordination/load/target_call_outcome.h"
 #include "modules/coordination/load/work_class.h"
 #include "modules/coordination/route.h"
 #include "modules/state/service_id.h"
@@ -40,7 +40,7 @@
   void OnFinished(const ServiceId& service,
                   const Route& route,
                   WorkClass work_class,
-                  RunOutcome outcome,
+                  TargetCallOutcome outcome,
                   Clock::Duration latency);
 
   void OnFirstTry(const ServiceId& service);
--- a/modules/transport/route_chooser_test.cc
+++ b/modules/transport/route_chooser_test.cc
@@ -63,7 +63,9 @@
     return *route;
   }
 
-  void Finish(const Route& route, RunOutcome outcome, milliseconds latency) {
+  void Finish(const Route& route,
+              TargetCallOutcome outcome,
+              milliseconds latency) {
     chooser.OnFinished(settings.id, route, WorkClass::kShort, outcome, latency);
   }
 
@@ -83,7 +85,8 @@
   for (int i = 0; i < 200; ++i) {
     const Route route = bench.Choose();
     const bool fails = route.data_address == "a";
-    bench.Finish(route, fails ? RunOutcome::kUnknown : RunOutcome::kDone,
+    bench.Finish(route,
+                 fails ? TargetCallOutcome::kUnknown : TargetCallOutcome::kDone,
                  kQuick);
     bench.clock.Advance(kQuick);
   }
@@ -106,7 +109,8 @@
       const Route route = bench.Choose();
       const bool cold = route.data_address == "cold";
       placed_cold += cold ? 1 : 0;
-      bench.Finish(route, RunOutcome::kDone, cold ? 10 * kQuick : kQuick);
+      bench.Finish(route, TargetCallOutcome::kDone,
+                   cold ? 10 * kQuick : kQuick);
       bench.clock.Advance(milliseconds(5));
     }
     return placed_cold;
--- a/modules/transport/target_announcement.h
+++ b/modules/transport/target_announcement.h
@@ -16,7 +16,7 @@
   // "ip:port" of its HTTP.
   std::string address;
   // Requests that it runs at once, and connections that it accepts.
-  std::uint32_t slots = 0;
+  std::uint32_t concurrency = 0;
   std::uint32_t connections = 0;
   // It refuses work that carries an older epoch.
   bool checks_grants = false;
--- a/modules/transport/target_announcement_codec.cc
+++ b/modules/transport/target_announcement_codec.cc
@@ -44,7 +44,7 @@
         ServiceName(json.at("service").get<std::string>())};
     announcement.address =
         HttpAddress::Parse(json.at("address").get<std::string>()).ToString();
-    announcement.slots = ReadCount(json, "slots");
+    announcement.concurrency = ReadCount(json, "slots");
     announcement.connections = ReadCount(json, "connections");
     announcement.checks_grants = json.at("checks_grants").get<bool>();
     announcement.state = ReadState(json.at("state").get<std::string>());
--- a/modules/transport/target_call.cc
+++ b/modules/transport/target_call.cc
@@ -52,7 +52,7 @@
   answer.status = static_cast<std::uint16_t>(response.status);
   answer.body_length = response.body_length.bytes();
   for (const HttpHeader& header : response.headers) {
-    if (!IsConnectionHeader(header.name) &&
+    if (!IsHopByHopHeader(header.name) &&
         !SameHeaderName(header.name, "Citrongrade-Outcome") &&
         !SameHeaderName(header.name, "Citrongrade-Request-Id")) {
       answer.headers.push_back({header.name, header.value});
@@ -116,7 +116,7 @@
     return false;
   }
   m_result.was_granted = true;
-  m_result.outcome = RunOutcome::kUnknown;
+  m_result.outcome = TargetCallOutcome::kUnknown;
   SendRequest(grant);
   return true;
 }
@@ -186,7 +186,7 @@
 void TargetCall::PassAnswer(const HttpResponseHead& response) {
   if (ProvesNotRun(response)) {
     m_connection->ReadWholeBody(RequestTransfer::kInlineBytes);
-    m_result.outcome = RunOutcome::kNotRun;
+    m_result.outcome = TargetCallOutcome::kNotRun;
     Refuse(RefuseNotRun(RequestErrorCode::kTargetRefused,
                         "the target refused it without running it",
                         RetryAfterOf(response)));
@@ -202,7 +202,7 @@
 
 void TargetCall::PassSmallBody(AnswerHead answer) {
   std::string body = m_connection->ReadWholeBody(RequestTransfer::kInlineBytes);
-  m_result.outcome = RunOutcome::kDone;
+  m_result.outcome = TargetCallOutcome::kDone;
   if (body.size() <= kMaxStoredAnswerBytes) {
     std::string content_type;
     for (const HeaderField& field : answer.headers) {
@@ -233,7 +233,7 @@
       return;
     }
   }
-  m_result.outcome = RunOutcome::kDone;
+  m_result.outcome = TargetCallOutcome::kDone;
   download.End();
 }
 
--- a/modules/transport/target_call.h
+++ b/modules/transport/target_call.h
@@ -6,7 +6,7 @@
 
 #include "modules/coordination/clock.h"
 #include "modules/coordination/grant_decision.h"
-#include "modules/coordination/load/run_outcome.h"
+#include "modules/coordination/load/target_call_outcome.h"
 #include "modules/coordination/stored_answer.h"
 
 namespace citrongrade {
@@ -26,7 +26,7 @@
 
   struct Result {
     // kNotRun only when nothing was written to the target, or it said so.
-    RunOutcome outcome = RunOutcome::kNotRun;
+    TargetCallOutcome outcome = TargetCallOutcome::kNotRun;
     bool was_granted = false;
     // The target closed the connection, or refused one, without an answer.
     bool connection_lost = false;
--- a/modules/transport/target_dispatcher.cc
+++ b/modules/transport/target_dispatcher.cc
@@ -122,7 +122,8 @@
     const TargetAnnouncement& announcement) {
   const std::lock_guard lock(m_mutex);
   const bool moved = !m_target || m_target->address != announcement.address;
-  const bool resized = !m_target || m_target->slots != announcement.slots ||
+  const bool resized = !m_target ||
+                       m_target->concurrency != announcement.concurrency ||
                        m_target->connections != announcement.connections;
   if (moved) {
     m_pool = std::make_shared<TargetConnectionPool>(
@@ -130,7 +131,7 @@
   }
   if (!m_admission || (resized && m_runs.empty())) {
     AdmissionController::Parameters parameters;
-    parameters.slots = announcement.slots;
+    parameters.declared_concurrency = announcement.concurrency;
     parameters.connections = announcement.connections;
     parameters.starts_cold =
         announcement.state == TargetAnnouncement::State::kStarting;
@@ -262,10 +263,10 @@
     if (found == m_runs.end())
       return;
     const auto result = m_admission->Cancel(ticket);
-    if (result == AdmissionController::CancelResult::kWasWaiting) {
+    if (result == AdmissionController::CancelResult::kRemovedFromQueue) {
       withdrawn = found->second;
       m_runs.erase(found);
-    } else if (result == AdmissionController::CancelResult::kRuns) {
+    } else if (result == AdmissionController::CancelResult::kRunning) {
       steps.cancel.push_back(found->second);
     }
     Steps polled = TakeSteps();
@@ -362,7 +363,7 @@
   // A connection that broke shows a crash only when there is no process to
   // connect to any more; a target may also close one that it is done with.
   const bool crashed = result.connection_lost &&
-                       result.outcome == RunOutcome::kUnknown &&
+                       result.outcome == TargetCallOutcome::kUnknown &&
                        pool->IsRefused();
   Steps steps;
   {
@@ -398,7 +399,7 @@
     const TargetCall::Result& result) {
   const ForwardedRequest& request = run.transfer->request();
   if (run.registered) {
-    if (result.outcome == RunOutcome::kNotRun)
+    if (result.outcome == TargetCallOutcome::kNotRun)
       m_guard.Withdraw(*run.registered);
     else
       m_guard.Finish(*run.registered, result.answer);
@@ -412,20 +413,20 @@
     const TargetCall::Result& result,
     bool crashed) {
   switch (result.outcome) {
-    case RunOutcome::kDone:
+    case TargetCallOutcome::kDone:
       ++m_counts.done;
       break;
-    case RunOutcome::kNotRun:
+    case TargetCallOutcome::kNotRun:
       ++m_counts.not_run;
       break;
-    case RunOutcome::kUnknown:
+    case TargetCallOutcome::kUnknown:
       ++m_counts.unknown;
       break;
   }
   m_counts.late_answers += result.was_late ? 1 : 0;
   const RequestFingerprint mark(run.transfer->request().fingerprint);
   if (!result.connection_lost) {
-    m_poison.OnEnded(mark);
+    m_poison.OnFinished(mark);
     return;
   }
   // All that ran when the first connection broke are suspects of one crash.
--- a/programs/citrongrade-node/node.cc
+++ b/programs/citrongrade-node/node.cc
@@ -209,7 +209,7 @@
   record.peer_address = m_settings.peer_address.ToString();
   record.boot_id = m_boot_id;
   record.service = target.service;
-  record.target_slots = target.slots;
+  record.target_slots = target.concurrency;
   record.target_connections = target.connections;
   record.target_checks_grants = target.checks_grants;
   return record;
--- a/programs/citrongrade-router/report_handler.cc
+++ b/programs/citrongrade-router/report_handler.cc
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "modules/transport/mesh/target_keeper.h"
+#include "modules/transport/mesh/target_controller.h"
 #include "platform/target_report_codec.h"
 
 namespace citrongrade {
@@ -46,7 +46,8 @@
     // Only the target beside this node can be given work here.
     if (report.address != m_keeper.address().ToString())
       throw platform::InvalidReportError("Address: of another host");
-    if (m_keeper.OnReport(report) == TargetKeeper::ReportResult::kOutdated) {
+    if (m_keeper.OnReport(report) ==
+        TargetController::ReportResult::kOutdated) {
       spdlog::info("event=target-report-outdated target={} sequence={}", id,
                    report.sequence);
       co_return Respond(kOk);
--- a/programs/citrongrade-router/report_handler.h
+++ b/programs/citrongrade-router/report_handler.h
@@ -5,13 +5,13 @@
 
 namespace citrongrade {
 
-class TargetKeeper;
+class TargetController;
 
 // What the target beside this node says of itself, and what it is told to hold
 // in the answers.
 class ReportHandler final : public AsyncHttpServer::Handler {
  public:
-  explicit ReportHandler(TargetKeeper& keeper) : m_keeper(keeper) {}
+  explicit ReportHandler(TargetController& keeper) : m_keeper(keeper) {}
 
   Task<HttpResponse> Handle(HttpRequest request,
                             RequestContext& context) override;
@@ -19,7 +19,7 @@
  private:
   Task<HttpResponse> Take(std::string id, HttpRequest request);
 
-  TargetKeeper& m_keeper;
+  TargetController& m_keeper;
 };
 
 }  // namespace citrongrade
--- a/programs/citrongrade-router/router_node.cc
+++ b/programs/citrongrade-router/router_node.cc
@@ -20,21 +20,21 @@
 #include "modules/coordination/steady_clock.h"
 #include "modules/transport/async/async_connection_pool.h"
 #include "modules/transport/async/async_http_server.h"
-#include "modules/transport/mesh/body_gate.h"
+#include "modules/transport/mesh/body_flow_controller.h"
 #include "modules/transport/mesh/config_follower.h"
 #include "modules/transport/mesh/config_transfer.h"
+#include "modules/transport/mesh/forwarded_request_handler.h"
 #include "modules/transport/mesh/instance_chooser.h"
 #include "modules/transport/mesh/loop_monitor.h"
 #include "modules/transport/mesh/mesh_agent.h"
 #include "modules/transport/mesh/request_log.h"
 #include "modules/transport/mesh/request_router.h"
 #include "modules/transport/mesh/router_metrics.h"
+#include "modules/transport/mesh/target_controller.h"
 #include "modules/transport/mesh/target_gateway.h"
-#include "modules/transport/mesh/target_keeper.h"
-#include "modules/transport/mesh/work_handler.h"
 #include "platform/config_document.h"
-#include "platform/platform_dialect.h"
 #include "platform/platform_store.h"
+#include "platform/platform_wire_protocol.h"
 #include "programs/citrongrade-router/report_handler.h"
 
 namespace citrongrade {
@@ -116,7 +116,7 @@
 constexpr double kAmpleCores = 0.5;
 constexpr double kAmpleLinkMbps = 100;
 
-double LeaderMerit(const platform::SettingsFile& file) {
+double LeaderFitness(const platform::SettingsFile& file) {
   return std::min(
       {1.0, file.cpu_share / kAmpleCores, file.link_mbps / kAmpleLinkMbps});
 }
@@ -130,13 +130,13 @@
     mesh.ip = settings.published_ip;
     data.ip = settings.published_ip;
   }
-  return {mesh.ToString(), data.ToString(), file.zone, LeaderMerit(file)};
+  return {mesh.ToString(), data.ToString(), file.zone, LeaderFitness(file)};
 }
 
-TargetKeeper::Settings KeeperSettings(const platform::SettingsFile& file) {
-  TargetKeeper::Settings settings;
+TargetController::Settings KeeperSettings(const platform::SettingsFile& file) {
+  TargetController::Settings settings;
   settings.address = file.target;
-  settings.drain =
+  settings.drain_period =
       std::chrono::duration_cast<milliseconds>(file.drain * kDrainPart);
   settings.grants_by_report = file.grants_by_report;
   return settings;
@@ -147,7 +147,7 @@
 // The members stand in order of use: each uses only those above it, and the
 // listeners that this object itself is.
 class RouterNode::Implementation final : public ConfigFollower::Listener,
-                                         public TargetKeeper::Listener,
+                                         public TargetController::Listener,
                                          public MeshAgent::Listener {
  public:
   Implementation(const RouterSettings& settings,
@@ -157,7 +157,7 @@
 
  private:
   void OnConfig(const RoutingConfig& config) override;
-  void OnTargetNews() override;
+  void OnTargetChanged() override;
   void OnTargetLost() override;
   void FillHeartbeat(Heartbeat& heartbeat) override;
   void OnReply(const HeartbeatReply& reply) override;
@@ -179,7 +179,7 @@
   const MeshTiming m_timing{};
   boost::asio::io_context m_loop{1};
   LoopMonitor m_monitor;
-  const platform::PlatformDialect m_dialect{};
+  const platform::PlatformWireProtocol m_dialect{};
   const platform::ConfigDocument m_decoder{};
   AsyncConnectionPool m_target_pool;
   AsyncConnectionPool m_peer_pool;
@@ -187,15 +187,15 @@
   platform::PlatformStore m_store;
   ConfigFollower m_config;
   ConfigTransfer m_transfer;
-  TargetKeeper m_keeper;
+  TargetController m_keeper;
   TargetGateway m_gateway;
   InstanceChooser m_chooser;
   MeshAgent m_agent;
   RouterMetrics m_metrics;
   RequestLog m_log;
   RequestRouter m_router;
-  BodyGate m_gate;
-  WorkHandler m_work_handler;
+  BodyFlowController m_gate;
+  ForwardedRequestHandler m_work_handler;
   ReportHandler m_report_handler;
   SimpleHandler m_readiness_handler;
   SimpleHandler m_status_handler;
@@ -271,7 +271,7 @@
       m_file.node_name, m_file.zone, m_file.service, m_file.callers.ToString(),
       m_file.target.ToString(), m_file.store.ToString(), m_file.cpu_share,
       m_file.link_mbps);
-  m_config.Start([this] { return m_agent.follows_store(); });
+  m_config.Start([this] { return m_agent.should_read_store(); });
   m_agent.Start();
   boost::asio::co_spawn(m_loop, TickLoop(), boost::asio::detached);
   boost::asio::co_spawn(m_loop, WatchSettings(), boost::asio::detached);
@@ -282,21 +282,21 @@
 void RouterNode::Implementation::OnConfig(const RoutingConfig& config) {
   std::set<std::string> divided;
   for (const auto& [name, service] : config.services) {
-    if (service.is_divided_by_key)
+    if (service.is_sharded)
       divided.insert(name);
   }
-  m_agent.SetDividedServices(std::move(divided));
+  m_agent.SetShardedServices(std::move(divided));
   m_callers.SetIdleTimeout(config.limits.idle_timeout);
   const std::size_t header_bytes = config.limits.max_header_bytes;
   m_callers.SetMaxHeaderBytes(header_bytes);
   m_work.SetMaxHeaderBytes(kHopHeaderFactor * header_bytes);
   // The leader may not have it yet.
-  if (m_agent.follows_store())
-    m_agent.Urge();
+  if (m_agent.should_read_store())
+    m_agent.TriggerHeartbeat();
 }
 
-void RouterNode::Implementation::OnTargetNews() {
-  m_agent.Urge();
+void RouterNode::Implementation::OnTargetChanged() {
+  m_agent.TriggerHeartbeat();
 }
 
 void RouterNode::Implementation::OnTargetLost() {
@@ -304,10 +304,10 @@
 }
 
 void RouterNode::Implementation::FillHeartbeat(Heartbeat& heartbeat) {
-  heartbeat.target = m_keeper.ForHeartbeat();
-  heartbeat.released = m_keeper.ReleasedForHeartbeat();
-  heartbeat.arrivals = m_gateway.TakeArrivals();
-  heartbeat.mean_work_us = m_gateway.mean_work_us();
+  heartbeat.target = m_keeper.MakeHeartbeatTarget();
+  heartbeat.released = m_keeper.MakeHeartbeatReleases();
+  heartbeat.slot_request_counts = m_gateway.TakeSlotRequestCounts();
+  heartbeat.mean_service_time_us = m_gateway.mean_service_time_us();
   heartbeat.crash_suspects = m_gateway.TakeCrashSuspects();
 }
 
@@ -318,12 +318,12 @@
 }
 
 void RouterNode::Implementation::OnViewChanged() {
-  m_keeper.SetLongestLease(m_agent.longest_lease());
+  m_keeper.SetLongestLease(m_agent.max_lease());
   m_keeper.OnView(m_agent.view(), m_agent.identity().address);
   m_chooser.Refresh(m_agent.view());
   const std::size_t nodes =
       std::max<std::size_t>(1, m_agent.view().members().size());
-  m_router.SetRetryShare(m_file.extra_retries * kRetryPart /
+  m_router.SetRetryBurst(m_file.extra_retries * kRetryPart /
                          static_cast<double>(nodes));
   m_router.OnViewChanged();
 }
@@ -334,7 +334,7 @@
   while (true) {
     timer.expires_after(kTick);
     co_await timer.async_wait(boost::asio::use_awaitable);
-    m_monitor.OnTimer(m_clock.Now() - timer.expiry());
+    m_monitor.OnTimerFired(m_clock.Now() - timer.expiry());
     m_keeper.OnView(m_agent.view(), m_agent.identity().address);
     m_keeper.Tick();
     m_gateway.Tick();
@@ -343,7 +343,7 @@
       continue;
     m_chooser.Refresh(m_agent.view());
     m_target_pool.Sweep();
-    m_keeper.Sweep();
+    m_keeper.CloseIdleConnections();
     m_peer_pool.Sweep();
     m_store_pool.Sweep();
   }
@@ -439,16 +439,16 @@
   state["node"] = m_file.node_name;
   state["zone"] = m_file.zone;
   state["is_leader"] = m_agent.is_leader();
-  state["store_answers"] = m_config.store_answers();
+  state["store_answers"] = m_config.is_store_answering();
   state["leader"] = m_agent.leader_address();
   state["epoch"] = m_agent.view().epoch();
   state["view_version"] = m_agent.view().version();
   state["lease_left_ms"] = std::chrono::duration_cast<milliseconds>(
                                m_agent.lease_until() - m_clock.Now())
                                .count();
-  state["longest_lease_ms"] = m_agent.longest_lease().count();
+  state["longest_lease_ms"] = m_agent.max_lease().count();
   state["config_version"] = m_config.version();
-  state["target"] = {{"id", m_keeper.life().id},
+  state["target"] = {{"id", m_keeper.incarnation().id},
                      {"service", m_keeper.service()},
                      {"serves", m_keeper.IsServing()},
                      {"held_ranges", m_keeper.held_range_count()},
@@ -462,7 +462,7 @@
                                 {"state", static_cast<int>(member->state)}});
   }
   for (const auto& [service, table] : m_agent.view().tables()) {
-    for (const OwnedRun& run : table.runs()) {
+    for (const SlotAssignment& run : table.assignments()) {
       state["runs"][service].push_back(
           {run.range.first_key(), run.range.last_key(), run.owner, run.fence});
     }
@@ -483,7 +483,8 @@
   add("citrongrade_target_unknown_total", static_cast<double>(counts.unknown));
   add("citrongrade_target_running", static_cast<double>(m_gateway.running()));
   add("citrongrade_target_waiting", static_cast<double>(m_gateway.waiting()));
-  add("citrongrade_target_mean_work_seconds", m_gateway.mean_work_us() / 1e6);
+  add("citrongrade_target_mean_work_seconds",
+      m_gateway.mean_service_time_us() / 1e6);
   add("citrongrade_target_connections_opened_total",
       static_cast<double>(m_target_pool.opened()));
   add("citrongrade_held_ranges",
@@ -494,7 +495,7 @@
       std::chrono::duration<double>(m_agent.lease_until() - m_clock.Now())
           .count());
   add("citrongrade_longest_lease_seconds",
-      std::chrono::duration<double>(m_agent.longest_lease()).count());
+      std::chrono::duration<double>(m_agent.max_lease()).count());
   add("citrongrade_config_version", static_cast<double>(m_config.version()));
   add("citrongrade_config_newest_known_version",
       static_cast<double>(m_config.newest_known()));
--- a/programs/citrongradectl/declaration_loader.cc
+++ b/programs/citrongradectl/declaration_loader.cc
@@ -33,7 +33,7 @@
   files.insert(files.end(), found.begin(), found.end());
 }
 
-std::string ReadText(const std::string& path) {
+std::string PercentDecode(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   // One byte more than a declaration may have, so that the reader refuses it.
   std::string text(YamlReader::kMaxFileBytes + 1, '\0');
@@ -64,7 +64,7 @@
   std::vector<DeclarationFile> files;
   files.reserve(names.size());
   for (const std::string& name : names) {
-    files.push_back({name, ReadText(name)});
+    files.push_back({name, PercentDecode(name)});
   }
   return files;
 }
--- a/tests/cost_balance.cc
+++ b/tests/cost_balance.cc
@@ -20,7 +20,7 @@
 constexpr std::uint32_t kTargets = 600;
 constexpr double kCapacity = 20;
 // Control may take 2 % of a core.
-constexpr microseconds kLongestRound = KeyBalancer::kRound / 50;
+constexpr microseconds kLongestRound = KeyBalancer::kRoundInterval / 50;
 
 std::string Name(std::uint32_t target) {
   return "10.1.0." + std::to_string(target) + ":7100";
@@ -30,7 +30,7 @@
 KeyTable TableOfSingleSlots() {
   KeyTable table;
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot) {
-    OwnedRun run;
+    SlotAssignment run;
     run.range = {slot, slot};
     run.owner = Name(slot * 37 % kTargets);
     run.fence = slot + 1;
--- a/tests/cost_config.cc
+++ b/tests/cost_config.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "modules/coordination/manual_clock.h"
-#include "modules/coordination/mesh/config_spread.h"
+#include "modules/coordination/mesh/config_distributor.h"
 #include "modules/protocol/config_change_codec.h"
 #include "modules/state/mesh/config_change.h"
 #include "modules/state/mesh/route_index.h"
@@ -79,7 +79,7 @@
 
 TEST_CASE("a leader of 600 nodes names all their sources in little time") {
   const ManualClock clock;
-  ConfigSpread spread(clock);
+  ConfigDistributor spread(clock);
   std::vector<Heartbeat> nodes(kNodes);
   for (std::size_t node = 0; node < kNodes; ++node) {
     nodes[node].address = "10.0.0.1:" + std::to_string(7000 + node);
--- a/tests/cost_recovery.cc
+++ b/tests/cost_recovery.cc
@@ -45,7 +45,7 @@
   return "10.1.0." + std::to_string(100 + node) + ":7500";
 }
 
-TargetLife LifeOf(std::size_t node, int life) {
+TargetIncarnation LifeOf(std::size_t node, int life) {
   return {"i-" + std::to_string(1'000'000 + 10 * node + life), 0};
 }
 
@@ -60,12 +60,12 @@
   constexpr std::uint32_t kSize = kSlotCount / kRuns;
   for (std::uint32_t i = 0; i < kRuns; ++i) {
     const std::size_t owner = std::size_t{i} * 37 % kTargets;
-    OwnedRun run;
+    SlotAssignment run;
     run.range = {i * kSize, (i + 1) * kSize - 1};
     if (i + 1 == kRuns)
       run.range.last = kSlotCount - 1;
     run.owner = AddressOf(owner);
-    run.life = LifeOf(owner, 0);
+    run.incarnation = LifeOf(owner, 0);
     run.fence = i + 1;
     run.handover = "0123456789abcdef";
     table.Assign(run);
@@ -84,18 +84,18 @@
                  kNonce,
                  RecordBeforeLoss()),
         m_nodes(kNodes) {
-    m_leader.SetDividedServices({kService});
+    m_leader.SetShardedServices({kService});
     for (std::size_t node = 0; node < kNodes; ++node) {
       Heartbeat& heartbeat = m_nodes[node];
       heartbeat.address = AddressOf(node);
       heartbeat.data_address = AddressOf(node);
       heartbeat.incarnation = 1;
-      heartbeat.promises = true;
-      heartbeat.store_answers = true;
+      heartbeat.is_vote_promised = true;
+      heartbeat.is_store_answering = true;
       heartbeat.target.state = Heartbeat::TargetState::kServing;
-      heartbeat.target.life = LifeOf(node, 1);
+      heartbeat.target.incarnation = LifeOf(node, 1);
       heartbeat.target.service = node < kTargets ? kService : "undivided";
-      heartbeat.target.slots = 9;
+      heartbeat.target.concurrency = 9;
       m_leader.OnVote(heartbeat.address, m_clock.Now());
     }
   }
@@ -116,7 +116,7 @@
 
   bool OwnsAll() const {
     const KeyTable* table = m_leader.view().FindTable(kService);
-    for (const OwnedRun& run : table->runs()) {
+    for (const SlotAssignment& run : table->assignments()) {
       const bool is_new = run.has_owner() && run.fence > kRuns;
       if (!is_new)
         return false;
@@ -164,7 +164,7 @@
   const microseconds cost = CostOf([&] {
     CHECK(view.Apply(MeshMessageCodec::DecodeHeartbeatReply(bytes).view));
   });
-  CHECK(view.FindTable(kService)->runs().size() == kRuns);
+  CHECK(view.FindTable(kService)->assignments().size() == kRuns);
   CHECK_MESSAGE(cost <= kLongestNodeStep, "it took " << cost.count() << " us");
 }
 
