--- a/modules/coordination/load/admission_changes.h
+++ b/modules/coordination/load/admission_changes.h
@@ -7,14 +7,15 @@
 
 namespace citrongrade {
 
-// What AdmissionController::Poll() decided since the call before it.
+// The outcome of AdmissionController::Poll() since the previous call.
 struct AdmissionChanges {
-  // Waited, and go to the target now.
+  // Queued requests to send to the target now.
   std::vector<RequestTicket> admitted;
-  // Waited, and are given up: answer their callers now.
+  // Queued requests that are refused; answer their callers now.
   std::vector<RefusedRequest> refused;
-  // Run, and their deadline has passed: cancel them at the target. They keep
-  // their place until OnFinished(), since the target may go on with them.
+  // Running requests whose deadline has passed; cancel them at the target. Each
+  // keeps its slot until OnFinished(), because the target may continue to run
+  // it.
   std::vector<RequestTicket> overdue;
 
   friend auto operator<=>(const AdmissionChanges&,
--- a/modules/coordination/load/admission_controller.cc
+++ b/modules/coordination/load/admission_controller.cc
@@ -21,17 +21,18 @@
 
 namespace acc = boost::accumulators;
 
-// Part of the limit that either class of work always has.
+// Each work class is guaranteed the limit divided by this.
 constexpr std::size_t kGuaranteedLimitDivisor = 4;
 
-// How fast the memory of short work's demand fades.
+// Time constant of the moving average of short work's demand.
 constexpr std::chrono::duration<double> kDemandTimeConstant(2.0);
 
-// Below this, short work counts as absent and long work may take everything.
+// Below this demand short work counts as absent, and long work may use the
+// whole limit.
 constexpr double kNegligibleDemand = 0.05;
 
-// Long work may wait for this many of its own run times: by the standing wait
-// of short work alone, no upload could ever wait for the one before it.
+// Long work may wait for this many of its own mean run times. With the bound
+// for short work alone, an upload could never wait for the one before it.
 constexpr int kMaxLongWaitInRuns = 2;
 
 std::size_t IndexOf(WorkClass work_class) {
@@ -42,19 +43,20 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// Without progress for this many of the longest run expected, a target is
-// frozen; one that is merely ten times slower goes on ending runs.
+// A target that finishes nothing for this many times the longest expected run
+// time counts as frozen. A target that is merely ten times slower still
+// finishes runs within that time.
 constexpr int kStallThresholdInRuns = 10;
 
 constexpr int kMaxSampleFactorAfterStall = 2;
 
-// Mean of how much short work runs or waits, fading over kDemandMemory.
+// Exponential moving average of the number of short requests that run or wait.
 class DemandAverage {
  public:
   explicit DemandAverage(const Clock& clock)
       : m_clock(clock), m_updated(clock.Now()) {}
 
-  // `demand` holds from now on; the one before it held until now.
+  // `demand` applies from now on; the previous value applied until now.
   void Set(std::size_t demand) {
     m_average = average();
     m_updated = m_clock.Now();
@@ -193,7 +195,7 @@
     status.burst_credit = m_credit.available();
     status.admitted_total = m_admitted_total;
     status.refused_total = m_refused_total;
-    // The mean of nothing is no number.
+    // The mean of an empty accumulator is not a number.
     if (acc::count(m_wait_times) > 0) {
       status.mean_wait = std::chrono::duration_cast<std::chrono::microseconds>(
           std::chrono::duration<double>(acc::mean(m_wait_times)));
@@ -231,8 +233,9 @@
     return std::max<std::size_t>(1, EffectiveLimit() / kGuaranteedLimitDivisor);
   }
 
-  // Square-root staffing: with its mean demand and the root of it again, short
-  // work seldom meets a moment at which long work holds all that it needs.
+  // Square-root staffing: reserves the mean demand of short work plus its
+  // square root, so that short work rarely finds the slots that it needs taken
+  // by long work.
   std::size_t MaxLongConcurrency() const {
     const double demand = m_short_demand.average();
     if (demand < kNegligibleDemand) {
@@ -262,10 +265,10 @@
     return QueueOf(WorkClass::kShort).empty() && running < MaxLongConcurrency();
   }
 
-  // With nothing of its class running, a request is let through even if past
-  // run times say that it would be late. Otherwise one slow spell that pushed
-  // the estimate over everybody's deadline would refuse everything for good:
-  // with nothing run, nothing could ever correct it.
+  // While no request of its class is running, a request is admitted even if
+  // past run times predict that it will be late. Otherwise a slow period that
+  // raised the estimate above every deadline would refuse everything for good:
+  // without runs the estimate is never corrected.
   bool IsProbe(WorkClass work_class) const {
     return RunningOf(work_class) == 0;
   }
@@ -309,8 +312,9 @@
         kMaxLongWaitInRuns * ServiceTimeOf(work_class).mean());
   }
 
-  // Not for a caller that is over its share: it alone would spend the credit
-  // that all need, and then they would be refused for its rush.
+  // A caller that is over its fair share gets no credit: it would spend the
+  // credit that all callers need, and they would then be refused because of its
+  // burst.
   bool TrySpendCredit(const RequestMetadata& facts) {
     if (QueueOf(facts.work_class).IsOverFairShare(facts)) {
       return false;
@@ -335,7 +339,8 @@
     return {AdmissionDecision::Verdict::kQueued, std::nullopt};
   }
 
-  // How many places the class has when all are in use.
+  // The number of requests of the class that run at once when all slots are in
+  // use.
   std::size_t ConcurrencyOf(WorkClass work_class) const {
     if (work_class == WorkClass::kLong) {
       return std::max(MaxLongConcurrency(), MinLongConcurrency());
@@ -351,9 +356,10 @@
            static_cast<std::int64_t>(ConcurrencyOf(work_class));
   }
 
-  // A frozen target finishes nothing, so run times never show it. What has
-  // stood still for longer than a run takes is expected to go on doing so for
-  // as long again; those who can't wait for that are told at once.
+  // Expected remaining time of a stall. A frozen target finishes nothing, so
+  // run times never reveal it. If nothing has finished for longer than a run
+  // takes, the stall is expected to last as long again, and requests that can't
+  // wait for that are refused at once.
   Clock::Duration ExpectedStall() const {
     if (m_running.empty()) {
       return {};
@@ -362,9 +368,10 @@
     return still > LongestExpectedRunTime() ? still : Clock::Duration(0);
   }
 
-  // A refusal by the target is quick and says nothing about work that runs. A
-  // run without an answer took at least this long; with a lost connection, that
-  // may be nothing: a crashing target would look like the fastest one.
+  // A refusal by the target is fast and says nothing about the time of a run. A
+  // run without an answer took at least `latency`, so it counts only if that is
+  // above the mean: after a lost connection `latency` may be close to zero, and
+  // a crashing target would look like the fastest one.
   bool IsServiceTimeSample(WorkClass work_class,
                            TargetCallOutcome outcome,
                            Clock::Duration latency) const {
@@ -374,11 +381,12 @@
     return outcome == TargetCallOutcome::kDone;
   }
 
-  // What ran through a freeze all ends together when it is over, each with the
-  // freeze in its latency. Taken as run times, these would have every request
-  // refused as too late just when the target is well again. The first of them
-  // counts, but as no more than kMostAfterStall times what was expected: if run
-  // times have really grown so much, the next ones lead there in a few steps.
+  // Requests that ran through a freeze all end together when it is over, each
+  // with the freeze in its latency. Recorded as run times, these would have
+  // every request refused as too late just when the target has recovered. Only
+  // the first one is recorded, and as at most kMaxSampleFactorAfterStall times
+  // the expected run time; if run times have really grown that much, the next
+  // samples reach them in a few steps.
   void RecordServiceTime(const RunningRequest& ended, Clock::Duration latency) {
     const Clock::TimePoint now = m_clock.Now();
     if (now - m_last_progress >
@@ -416,7 +424,7 @@
                      RunningRequest{facts.work_class, m_clock.Now(),
                                     facts.deadline, false})
             .second;
-    // The caller used one ticket for two requests.
+    // A ticket must not be reused while its request waits or runs.
     assert(is_new);
     static_cast<void>(is_new);
     ++m_running_of[IndexOf(facts.work_class)];
@@ -544,7 +552,7 @@
   std::array<std::size_t, kWorkClassCount> m_running_of{};
   std::unordered_map<RequestTicket, RunningRequest> m_running;
   DemandAverage m_short_demand;
-  // Refused since the last Poll().
+  // Queued requests refused since the last Poll().
   std::vector<RefusedRequest> m_refused;
   Clock::TimePoint m_last_progress;
   Clock::TimePoint m_stall_ended;
--- a/modules/coordination/load/admission_controller.h
+++ b/modules/coordination/load/admission_controller.h
@@ -18,45 +18,49 @@
 
 namespace citrongrade {
 
-// What one target is let to run, what waits for it, and what is turned away.
-// The one face of the decisions at the target's own node.
+// Limits how many requests one target runs at once, queues the excess in fair
+// order and refuses what can't be finished in time. It combines the concurrency
+// limit, the queues, the burst credit and the Retry-After values; the target's
+// own node uses them only through this class.
 //
-// How to use it: Offer() each request; run what is admitted, and call
+// Usage: call Offer() for each request; run the admitted ones and call
 // OnFinished() exactly once for each that ran. Call Poll() after every
-// OnFinished() and Cancel(), and every kPollInterval besides; run what it
-// admits, answer what it refuses, cancel what is overdue. One controller for
-// each target, on one thread (thread-confined). It never blocks or sends.
+// OnFinished() and Cancel(), and also every kPollInterval; run what it admits,
+// answer what it refuses, cancel what is overdue. Create one controller for
+// each target. Thread-confined; it never blocks and sends nothing.
 //
-// Load patterns: saturation, and long work among short. Without it excess work
-// waits until its deadline and is then run for nobody: goodput falls towards
-// nothing at three times the capacity. Given up means answered: a request that
-// can't be finished in time is refused the moment that shows, with a
-// Retry-After, never held until its deadline.
+// Load patterns: saturation, and long requests mixed with short ones. Without
+// admission control, excess requests wait until their deadline and are then run
+// although their callers have left: at three times the capacity, goodput falls
+// towards zero. A request that can't be finished in time is refused with a
+// Retry-After as soon as this is known, and never held until its deadline.
 //
-// Long work runs on what short work has not lately used, and always on at least
-// a quarter of the limit, so that neither starves the other.
+// Long work uses the capacity that short work hasn't used recently, and always
+// at least a quarter of the limit, so that neither class starves the other.
 //
-// Not here: whether this node may serve the key (leases, checked after the
-// wait), where undivided work goes (TargetPicker), retries (RetryBudget).
+// Not decided here: whether this node may serve the key (its lease is checked
+// after the queueing), which target runs a request of a service that isn't
+// divided by key (TargetPicker), and retries (RetryBudget).
 class AdmissionController {
  public:
   struct Parameters {
-    // What the target declared.
+    // Declared by the target.
     std::size_t declared_concurrency = 1;
     std::size_t connections = 1;
-    // False for a target that was seen serving before this node started.
+    // False for a target that was already serving before this node started.
     bool starts_cold = true;
     ColdStartRamp::Parameters ramp;
-    // Bounds for each class of work on its own.
+    // Bounds for the queue of each work class.
     RequestQueue::Parameters short_queue;
     RequestQueue::Parameters long_queue;
-    // Longest wait without burst credit.
+    // Longest queueing time without burst credit; long work may instead wait
+    // for two of its mean run times, if that is more.
     std::chrono::milliseconds max_wait_without_credit{200};
-    // Length of a rush that full credit carries at full capacity.
+    // Length of a burst at full capacity that the full credit covers.
     std::chrono::seconds burst_duration{60};
-    // Idle time that earns full credit.
+    // Idle time that refills the credit completely.
     std::chrono::seconds burst_refill_time{300};
-    // Until measured.
+    // Assumed service times until the first measurement.
     std::chrono::milliseconds initial_short_service_time{20};
     std::chrono::milliseconds initial_long_service_time{500};
 
@@ -74,8 +78,8 @@
 
   AdmissionDecision Offer(const RequestMetadata& facts);
 
-  // `latency` from giving it to the target until the answer's end. Throws
-  // UnknownTicketError when the ticket does not run here.
+  // `latency`: from sending the request to the target until the end of the
+  // answer. Throws UnknownTicketError if the request isn't running.
   void OnFinished(RequestTicket ticket,
                   TargetCallOutcome outcome,
                   Clock::Duration latency);
@@ -84,16 +88,16 @@
 
   enum class CancelResult {
     kUnknown,
-    // It never reached the target.
+    // The request never reached the target.
     kRemovedFromQueue,
-    // Cancel it at the target; report its end by OnFinished().
+    // Cancel it at the target, and report its end by OnFinished().
     kRunning,
   };
 
   CancelResult Cancel(RequestTicket ticket);
 
-  // From now on every Offer() is refused; what waits is refused by the next
-  // Poll(); what runs goes on. For a target that drains or lost its owner.
+  // Refuses every later Offer(), and all queued requests at the next Poll().
+  // Running requests continue. For a target that drains or has lost its owner.
   void StopAdmitting();
 
   AdmissionStatus Status() const;
--- a/modules/coordination/load/admission_controller_test.cc
+++ b/modules/coordination/load/admission_controller_test.cc
@@ -14,7 +14,8 @@
 using std::chrono::milliseconds;
 using Verdict = AdmissionDecision::Verdict;
 
-// A controller for a target with four slots, and the requests given to it.
+// A controller for a target with four slots, with helpers to offer and finish
+// requests.
 class Fixture {
  public:
   Fixture() : Fixture(Declared()) {}
@@ -40,7 +41,7 @@
     return m_admission.Offer(facts);
   }
 
-  // Offers and ends one run of `latency`, so that run times are known.
+  // Offers and finishes one run of `latency`, so that the run time is known.
   void Measure(milliseconds latency) {
     REQUIRE(Offer(milliseconds(60'000)).verdict == Verdict::kAdmitted);
     m_clock.Advance(latency);
@@ -71,9 +72,10 @@
 
 }  // namespace
 
-// All slots are busy and the queue is longer than the caller's patience. It
-// must hear so now: told at its deadline, it has lost the time to go elsewhere.
-TEST_CASE("who can't be served in time is refused at once") {
+// All slots are busy and the queue is longer than the caller's deadline allows.
+// If the refusal came only at the deadline, the caller would have no time left
+// to retry elsewhere.
+TEST_CASE("a request that can't finish in time is refused at once") {
   Fixture fixture;
   fixture.Measure(milliseconds(100));
   fixture.FillSlots();
@@ -86,10 +88,10 @@
   CHECK(decision.refusal->retry_after >= milliseconds(100));
 }
 
-// The target freezes with a request waiting that has two seconds. Nothing ends,
-// so run times still look fine. It is given up once the freeze has lasted for
-// half of them, and never reaches the target.
-TEST_CASE("a freeze gives up what waits well before its deadline") {
+// The target freezes while a request with two seconds left is queued. Nothing
+// finishes, so run times still look normal. The request must be refused once
+// the freeze has lasted for half of that time, and never reach the target.
+TEST_CASE("a freeze refuses queued requests well before their deadline") {
   Fixture fixture;
   fixture.Measure(milliseconds(20));
   fixture.FillSlots();
@@ -108,9 +110,9 @@
   CHECK(waited <= milliseconds(1100));
 }
 
-// A freeze of ten seconds ends, and all that ran through it ends at once. Its
-// latency is the freeze's, not the target's: the next caller must be served.
-TEST_CASE("the end of a freeze does not refuse those who come after it") {
+// A freeze of ten seconds ends, and all that ran through it finishes at once.
+// If these latencies counted as run times, the next request would be refused.
+TEST_CASE("requests that arrive after a freeze are not refused for it") {
   Fixture fixture;
   fixture.Measure(milliseconds(20));
   fixture.FillSlots();
@@ -122,10 +124,10 @@
   CHECK(fixture.Offer(milliseconds(500)).verdict == Verdict::kQueued);
 }
 
-// Each run took longer than any caller's patience. If all were refused for
-// that, nothing would run, and nothing could show that the target is fast
+// Each run took longer than any deadline allows. If all requests were refused
+// for that, nothing would run, and nothing could show that the target is fast
 // again.
-TEST_CASE("an idle target is tried although its last runs were too long") {
+TEST_CASE("an idle target gets a request even if past runs were too long") {
   Fixture fixture;
   for (int run = 0; run < 20; ++run) {
     fixture.Measure(milliseconds(5000));
@@ -134,9 +136,10 @@
   CHECK(fixture.Offer(milliseconds(1000)).verdict == Verdict::kRefused);
 }
 
-// Runs take fifteen times as long as was assumed before any was measured, one
-// at a time. Each looks like a freeze; skipped for that, none would be learned.
-TEST_CASE("run times far above the first guess are learned") {
+// Run one at a time, requests take fifteen times as long as was assumed before
+// any was measured. Each looks like a freeze; if they were skipped for that,
+// the run time would never be learned.
+TEST_CASE("run times far above the initial assumption are learned") {
   Fixture fixture;
   for (int run = 0; run < 40; ++run) {
     fixture.Measure(milliseconds(300));
@@ -145,7 +148,7 @@
   CHECK(fixture.Offer(milliseconds(250)).verdict == Verdict::kRefused);
 }
 
-TEST_CASE("uploads leave places for short work and short work for uploads") {
+TEST_CASE("long work leaves slots to short work, and short work to long work") {
   Fixture fixture;
   fixture.FillSlots();
   fixture.clock().Advance(milliseconds(5000));
@@ -160,9 +163,10 @@
   CHECK(fixture.Offer(milliseconds(1000)).verdict == Verdict::kAdmitted);
 }
 
-// Overload lasts. Once the credit for a rush is spent, a wait longer than the
-// standing one is refused; otherwise every answer would come at the deadline.
-TEST_CASE("without credit nobody waits longer than the standing wait") {
+// Overload lasts. Once the burst credit is spent, a request that would wait
+// longer than max_wait_without_credit must be refused; otherwise every answer
+// would come at its deadline.
+TEST_CASE("without credit no request waits longer than in steady overload") {
   AdmissionController::Parameters parameters = Fixture::Declared();
   parameters.burst_duration = std::chrono::seconds(0);
   Fixture fixture(parameters);
@@ -179,7 +183,7 @@
   CHECK(queued == parameters.max_wait_without_credit / milliseconds(5));
 }
 
-TEST_CASE("cancellation reaches what waits and names what runs") {
+TEST_CASE("cancelling removes a queued request and reports a running one") {
   using Result = AdmissionController::CancelResult;
   Fixture fixture;
   fixture.FillSlots();
@@ -191,9 +195,9 @@
   CHECK(fixture.admission().Status().running == 4);
 }
 
-// A run passes its deadline. Its place stays taken until the target says it has
-// ended: given away before, the target would run more than its limit.
-TEST_CASE("an overdue run is named once and keeps its place") {
+// A run passes its deadline. If its slot were freed before the target reports
+// its end, the target would run more requests than its limit.
+TEST_CASE("an overdue run is reported once and keeps its slot") {
   Fixture fixture;
   REQUIRE(fixture.Offer(milliseconds(100)).verdict == Verdict::kAdmitted);
   fixture.clock().Advance(milliseconds(120));
@@ -204,7 +208,7 @@
   CHECK(fixture.admission().Status().running == 1);
 }
 
-TEST_CASE("a leaving target refuses what waits and keeps what runs") {
+TEST_CASE("a leaving target refuses queued requests and keeps running ones") {
   Fixture fixture;
   fixture.FillSlots();
   fixture.Offer(milliseconds(1000));
@@ -216,7 +220,7 @@
   CHECK(fixture.admission().Status().running == 4);
 }
 
-TEST_CASE("an end that is reported twice is an error") {
+TEST_CASE("reporting the end of a run twice is an error") {
   Fixture fixture;
   fixture.Measure(milliseconds(20));
   CHECK_THROWS_AS(fixture.Finish(1, milliseconds(20)), UnknownTicketError);
--- a/modules/coordination/load/admission_decision.h
+++ b/modules/coordination/load/admission_decision.h
@@ -7,19 +7,19 @@
 
 namespace citrongrade {
 
-// The answer to AdmissionController::Offer().
+// Result of AdmissionController::Offer().
 struct AdmissionDecision {
   enum class Verdict {
-    // Give it to the target now, and report its end by OnFinished().
+    // Send the request to the target now, and report its end by OnFinished().
     kAdmitted,
-    // A later Poll() names it, as admitted or as refused.
+    // A later Poll() reports the request as admitted or refused.
     kQueued,
-    // Final: answer the caller now.
+    // Final; answer the caller now.
     kRefused,
   };
 
   Verdict verdict = Verdict::kAdmitted;
-  // Set for kRefused only.
+  // Set only for kRefused.
   std::optional<Refusal> refusal;
 
   friend auto operator<=>(const AdmissionDecision&,
--- a/modules/coordination/load/admission_status.h
+++ b/modules/coordination/load/admission_status.h
@@ -7,7 +7,8 @@
 
 namespace citrongrade {
 
-// One target's admission in numbers, for dumps and metrics.
+// Counters and current load of the admission for one target, for dumps and
+// metrics.
 struct AdmissionStatus {
   std::size_t limit = 0;
   std::size_t running = 0;
@@ -17,7 +18,7 @@
   double burst_credit = 0;
   std::uint64_t admitted_total = 0;
   std::uint64_t refused_total = 0;
-  // Over all requests that waited, until admitted.
+  // Mean queueing time of all requests that were queued and then admitted.
   std::chrono::microseconds mean_wait{0};
 
   friend auto operator<=>(const AdmissionStatus&,
--- a/modules/coordination/load/body_transfer_scheduler.h
+++ b/modules/coordination/load/body_transfer_scheduler.h
@@ -12,40 +12,43 @@
 
 namespace citrongrade {
 
-// Which long bodies may be on their way to this node at the same time.
+// Limits and orders the long request bodies that are sent to this node at the
+// same time.
 //
-// Load pattern: bodies that ask for nearly all that a narrow link carries. Sent
-// as they come they stand in the link, and short calls behind them arrive past
-// their time. Here a body waits at its sender until there is room for it, so
-// that the link holds kMostOnWay of them at most.
+// Load pattern: bodies that need nearly all the capacity of a narrow link. Sent
+// as they come they queue in the link, and short calls behind them arrive after
+// their deadline. Here a body waits at its sender until this node grants its
+// transfer, so that the link never holds more than kMaxInFlightTime of them.
 //
-// Room is given back when a body has come, so that a link which carries other
-// things too is asked for less by itself. Bodies that can still be there by
-// their aim go first, among these the earlier; what has missed it goes when
-// nothing better waits, as in TargetAdmission. What can't be there in time is
-// refused the moment that shows: at the offer, or at the next Poll().
+// A body frees its share of the link when it has arrived, so a link that also
+// carries other traffic is automatically granted less. Bodies that can still
+// arrive by their soft deadline go first, in order of arrival; one that has
+// missed it goes when no other is left, as in TargetAdmission. A body that
+// can't arrive by its deadline is refused as soon as this is known: at the
+// offer, or at the next Poll().
 //
-// How to use it: Offer() each body before it is sent, OnEnded() once for each
-// that was granted, when it has come or won't. After that, and every 20 ms,
-// Poll(). Thread-confined; never blocks.
+// Usage: call Offer() for each body before it is sent, and OnFinished() once
+// for each granted one, when it has arrived or failed. Call Poll() after that,
+// and every 20 ms. Thread-confined; never blocks.
 class BodyTransferScheduler {
  public:
   struct Body {
     RequestTicket ticket;
     std::uint64_t bytes = 0;
-    // Come by then it is worth most.
+    // Arriving by then, it is worth most.
     Clock::TimePoint soft_deadline;
-    // Come later it is worth nothing.
+    // Arriving later, it is worth nothing.
     Clock::TimePoint deadline;
 
     friend auto operator<=>(const Body&, const Body&) = default;
   };
 
-  // What the link carries in this time may be on its way: more would hold up
-  // calls that wait for some 100 ms, less would leave gaps between the bodies.
-  // One body always may, however long.
+  // Bound on the bodies in flight, as the time that the link needs for them.
+  // More would delay calls that wait for about 100 ms, less would leave the
+  // link idle between bodies. A single body is always granted, whatever its
+  // length.
   static constexpr std::chrono::milliseconds kMaxInFlightTime{50};
-  // Bound on memory.
+  // Bounds the memory.
   static constexpr std::size_t kMaxWaiting = 512;
 
   enum class Verdict { kGranted, kQueued, kRefused };
@@ -58,10 +61,11 @@
   BodyTransferScheduler(const Clock& clock, double bytes_per_second);
 
   Verdict Offer(const Body& body);
-  // Also takes back one that waits.
+  // Also removes a queued body.
   void OnFinished(RequestTicket ticket);
   Changes Poll();
-  // When one that is refused now may find room.
+  // Time until a body that is refused now may be granted: the link time of all
+  // bodies in flight or queued.
   Clock::Duration DrainTime() const;
 
   std::size_t waiting() const { return m_waiting.size(); }
@@ -71,14 +75,14 @@
   Clock::Duration TransferTime(std::uint64_t bytes) const;
   bool HasCapacityFor(std::uint64_t bytes) const;
   void Grant(const Body& body);
-  // The next to be granted; one must wait.
+  // The body to grant next; the queue must not be empty.
   std::map<RequestTicket, Body>::iterator FindNext();
 
   const Clock& m_clock;
   const double m_bytes_per_second;
   std::map<RequestTicket, std::uint64_t> m_in_flight;
   std::uint64_t m_bytes_in_flight = 0;
-  // By ticket, which is the order in which they came.
+  // By ticket, which is the order of arrival.
   std::map<RequestTicket, Body> m_waiting;
   std::uint64_t m_bytes_waiting = 0;
 };
--- a/modules/coordination/load/body_transfer_scheduler_test.cc
+++ b/modules/coordination/load/body_transfer_scheduler_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A link of 13 Mbit/s carries 81 kB in the time that bodies may be on the way.
+// A link of 13 Mbit/s transfers 81 kB in kMaxInFlightTime.
 constexpr double kRate = 13e6 / 8;
 constexpr std::uint64_t kBytes = 40'000;
 
@@ -31,8 +31,9 @@
 
 }  // namespace
 
-// Calls of some hundred bytes stood behind as many bodies as came.
-TEST_CASE_FIXTURE(Fixture, "no more bodies are on the way than fill the link") {
+// Without the limit, calls of a few hundred bytes were delayed behind all
+// bodies that were sent at once.
+TEST_CASE_FIXTURE(Fixture, "the bodies in flight stay within the link limit") {
   CHECK(Offer(1) == BodyTransferScheduler::Verdict::kGranted);
   CHECK(Offer(2) == BodyTransferScheduler::Verdict::kGranted);
   CHECK(Offer(3) == BodyTransferScheduler::Verdict::kQueued);
@@ -45,16 +46,17 @@
   CHECK(room.bytes_in_flight() == 2 * kBytes + 100);
 }
 
-// A body longer than all the room would never be sent.
-TEST_CASE_FIXTURE(Fixture, "one body is let in however long it is") {
+// A body longer than the limit would otherwise never be sent.
+TEST_CASE_FIXTURE(Fixture, "a single body is granted whatever its length") {
   CHECK(Offer(1, 10 * kBytes) == BodyTransferScheduler::Verdict::kGranted);
   CHECK(Offer(2, 10 * kBytes) == BodyTransferScheduler::Verdict::kQueued);
   room.OnFinished(RequestTicket(1));
   CHECK(room.Poll().granted.size() == 1);
 }
 
-// Its caller would be told at the end of its time what was known at its start.
-TEST_CASE_FIXTURE(Fixture, "what can't come in time is refused at the offer") {
+// Otherwise its caller would be refused at its deadline for what was known at
+// the start.
+TEST_CASE_FIXTURE(Fixture, "a body that would arrive late is refused at once") {
   for (std::uint64_t number = 1; number <= 4; ++number)
     CHECK(Offer(number) != BodyTransferScheduler::Verdict::kRefused);
   CHECK(Offer(5, kBytes, milliseconds(50), milliseconds(120)) ==
@@ -62,9 +64,10 @@
   CHECK(room.DrainTime() > milliseconds(90));
 }
 
-// A link that carries other things too drains slower than its rate says.
+// A link that also carries other traffic drains more slowly than its rate
+// suggests.
 TEST_CASE_FIXTURE(Fixture,
-                  "what has waited too long is refused when it shows") {
+                  "a queued body is refused once it would arrive late") {
   Offer(1);
   Offer(2);
   CHECK(Offer(3, kBytes, milliseconds(50), milliseconds(200)) ==
@@ -77,8 +80,8 @@
   CHECK(room.DrainTime() < milliseconds(60));
 }
 
-// First come, first served: in a queue that lasts everything comes late.
-TEST_CASE_FIXTURE(Fixture, "a body that has missed its aim lets others pass") {
+// In order of arrival, a queue that lasts would make every body late.
+TEST_CASE_FIXTURE(Fixture, "a body past its soft deadline lets others pass") {
   Offer(1, 2 * kBytes);
   Offer(2, kBytes, milliseconds(100));
   clock.Advance(milliseconds(200));
@@ -93,8 +96,9 @@
   CHECK(room.Poll().granted.size() == 1);
 }
 
-// A sender that went away would keep its room, or its place, for good.
-TEST_CASE_FIXTURE(Fixture, "what ends gives back its room or its place") {
+// A sender that has gone would otherwise keep its share of the link, or its
+// place in the queue, for good.
+TEST_CASE_FIXTURE(Fixture, "a finished body leaves the link or the queue") {
   Offer(1);
   Offer(2);
   Offer(3);
--- a/modules/coordination/load/burst_credit.cc
+++ b/modules/coordination/load/burst_credit.cc
@@ -13,7 +13,8 @@
       m_last_refill(clock.Now()) {}
 
 void BurstCredit::SetIdleShare(double idle_share) {
-  // The caller divided by a limit that shrank below what already runs.
+  // The caller must clamp the share: more requests can be running than a limit
+  // that has just shrunk.
   assert(idle_share >= 0 && idle_share <= 1);
   Refill();
   m_idle_share = idle_share;
--- a/modules/coordination/load/burst_credit.h
+++ b/modules/coordination/load/burst_credit.h
@@ -4,19 +4,21 @@
 
 namespace citrongrade {
 
-// Lets a rush wait as long as its deadlines allow, for as many requests as idle
-// time before it has earned.
+// Credit, earned by idle time, that lets requests wait up to their deadline
+// during a burst.
 //
-// Load pattern: the whole audience within one minute. The right length of a
-// queue depends on why it grew. A rush ends, so waiting serves everyone; steady
-// overload doesn't, so there waiting only makes every answer late. Without
-// credit one bound must serve both: a short one refuses half the audience, a
-// long one turns hours of overload into hours of answers at the deadline.
+// Load pattern: the whole audience arrives within one minute. The right length
+// of a queue depends on why it grew. A burst ends, so queueing serves everyone;
+// steady overload doesn't end, so queueing only makes every answer late.
+// Without credit one bound must serve both: a short one refuses half the
+// audience, and a long one makes every answer of hours of overload come at its
+// deadline.
 //
-// Counted in seconds of one target slot. Earned at `earned_per_second` times
-// the idle share of the target, so that a target which is always full earns
-// none; spent by each request that waits longer than the standing bound. Starts
-// full: a fresh node meets the rush too.
+// The credit is counted in slot-seconds of one target. It is earned at
+// `refill_per_second` times the idle share of the target, so that a target
+// which is always full earns none, and spent by each request that waits longer
+// than the bound for steady overload. It starts full, since a new node may meet
+// a burst too.
 //
 // Thread-confined.
 class BurstCredit {
@@ -30,11 +32,12 @@
 
   BurstCredit(const Clock& clock, const Parameters& parameters);
 
-  // Call whenever the idle share of the target changes: what was earned until
-  // now is counted at the share set before. 0 to 1.
+  // Call this whenever the idle share of the target (0 to 1) changes: the
+  // credit earned until now is computed with the previous share.
   void SetIdleShare(double idle_share);
 
-  // Spends `slot_seconds`; false, and nothing spent, when there are fewer.
+  // Spends `slot_seconds`. Returns false and spends nothing if less is
+  // available.
   bool TrySpend(double slot_seconds);
 
   double available() const { return m_available; }
--- a/modules/coordination/load/burst_credit_test.cc
+++ b/modules/coordination/load/burst_credit_test.cc
@@ -6,8 +6,8 @@
 
 namespace citrongrade {
 
-// A target is saturated for an hour. Had its credit come back by the clock, a
-// queue up to everybody's deadline would come back with it each minute.
+// A target is saturated for an hour. If time alone refilled the credit, a queue
+// up to all deadlines would come back with it each minute.
 TEST_CASE("a target that is never idle earns no credit") {
   ManualClock clock;
   BurstCredit credit(clock, {10, 1});
@@ -17,7 +17,7 @@
   CHECK_FALSE(credit.TrySpend(1));
 }
 
-TEST_CASE("idle time earns by its share, up to the capacity") {
+TEST_CASE("idle time earns credit by its share, up to the capacity") {
   ManualClock clock;
   BurstCredit credit(clock, {10, 1});
   CHECK(credit.TrySpend(10));
--- a/modules/coordination/load/cold_start_ramp.h
+++ b/modules/coordination/load/cold_start_ramp.h
@@ -6,15 +6,15 @@
 
 namespace citrongrade {
 
-// The share of its capacity that a target which has just started may be given.
+// Limits the share of its capacity that a newly started target is given. The
+// share grows linearly from `initial_share` to 1 over `duration`.
 //
-// Load pattern: a cold target joins in a rush. It has nothing outstanding, so
-// every picker of least load sends it everything at once, while its caches are
-// empty and each request is at its slowest: it stalls, times out, gets ejected,
-// and comes back cold. Grows linearly from `initial_share` to 1. The patterns
-// of load_policy_benchmark run as well without it
-// (docs/design/load-decisions.md): its values are a precaution, not a
-// measurement.
+// Load pattern: a cold target joins during a burst. It has no outstanding
+// requests, so every least-load picker sends it everything at once, while its
+// caches are empty and each request is at its slowest: it stalls, times out, is
+// ejected and comes back cold. The load patterns of load_policy_benchmark run
+// as well without the ramp (docs/design/load-decisions.md), so its values are a
+// precaution and not a measurement.
 //
 // Thread-confined.
 class ColdStartRamp {
@@ -26,10 +26,10 @@
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
   };
 
-  // The ramp begins now.
+  // Starts the ramp at the current time.
   ColdStartRamp(const Clock& clock, const Parameters& parameters);
 
-  // For a target that is known to be warm.
+  // A completed ramp, for a target that is known to be warm.
   static ColdStartRamp Finished(const Clock& clock);
 
   double Share() const;
--- a/modules/coordination/load/cold_start_ramp_test.cc
+++ b/modules/coordination/load/cold_start_ramp_test.cc
@@ -6,7 +6,7 @@
 
 namespace citrongrade {
 
-TEST_CASE("a cold target gets a quarter at first and all of it in the end") {
+TEST_CASE("a cold target starts at a quarter and reaches full capacity") {
   ManualClock clock;
   const ColdStartRamp ramp(clock, {0.25, std::chrono::seconds(10)});
   CHECK(ramp.Share() == doctest::Approx(0.25));
--- a/modules/coordination/load/concurrency_limit.cc
+++ b/modules/coordination/load/concurrency_limit.cc
@@ -20,17 +20,18 @@
 using MeanLatency =
     acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::mean>>;
 
-// One window takes at most this share away, so that a single odd window (a
-// pause of the machine) does not undo minutes of growth.
+// One window keeps at least this share of the limit, so that a single outlier
+// (such as a pause of the machine) does not undo minutes of growth.
 constexpr double kMinShrinkFactor = 0.8;
 
 // A cut below the declared slots stands only if this share of the throughput
-// is left; the mean of a window of some 60 runs is known to within 5%.
+// remains; the mean of a window of about 60 runs is accurate to within 5%.
 constexpr double kMinTrialThroughputShare = 0.9;
 
 constexpr std::chrono::seconds kTrialRetryDelay(30);
 
-// A cut below the declared slots whose effect is not yet known.
+// A cut below the declared slots that is being evaluated, with the limit and
+// the throughput before it.
 struct Trial {
   std::size_t limit = 0;
   double throughput = 0;
@@ -40,13 +41,13 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// The best mean latency of one class over the periods kept.
+// The lowest mean latency of one work class over the kept periods.
 class Baseline {
  public:
   void Add(double latency) { m_current(latency); }
 
-  // Periods without enough samples are carried on into the next one, so that
-  // a quiet class keeps what it knows.
+  // A period without enough samples continues into the next one, so that a
+  // class with few requests keeps its baseline.
   void ClosePeriod(std::size_t min_samples, std::size_t periods_kept) {
     if (acc::count(m_current) < min_samples) {
       return;
@@ -101,8 +102,9 @@
   std::size_t limit() const { return m_limit; }
 
  private:
-  // Below half of the slots many targets answer faster than they can when busy
-  // (caches, turbo): taken as the best, that would shrink a healthy target.
+  // Below half of the slots many targets answer faster than they can under load
+  // (caches, CPU turbo). A baseline learned there would shrink the limit of a
+  // healthy target.
   bool IsUncongested(std::size_t running) const {
     return running <= m_parameters.declared_concurrency &&
            2 * running >= m_parameters.declared_concurrency;
@@ -142,7 +144,8 @@
     return samples;
   }
 
-  // How many times the best latency the window's was, over all classes.
+  // Ratio of the window's mean latency to the best one, averaged over the runs
+  // of all work classes.
   std::optional<double> Slowdown() const {
     double sum = 0;
     double weight = 0;
@@ -198,14 +201,14 @@
     m_limit = wanted;
   }
 
-  // By Little's law, in units of what an uncongested place does.
+  // By Little's law, in units of the throughput of one uncongested slot.
   double Throughput(double slowdown) const {
     return static_cast<double>(m_limit) / slowdown;
   }
 
-  // Latency that has causes other than concurrency (a slow store behind the
-  // target) does not fall with it: fewer places at the same latency only do
-  // less work, and callers are refused that the target could serve.
+  // Latency with causes other than concurrency (such as a slow store behind the
+  // target) does not fall with the limit. A lower limit then only reduces the
+  // throughput, and callers are refused that the target could serve.
   void EvaluateTrial(double slowdown) {
     if (Throughput(slowdown) < kMinTrialThroughputShare * m_trial->throughput) {
       m_limit = m_trial->limit;
--- a/modules/coordination/load/concurrency_limit.h
+++ b/modules/coordination/load/concurrency_limit.h
@@ -9,29 +9,34 @@
 
 namespace citrongrade {
 
-// How many requests one target may run at once.
+// Adapts how many requests one target may run at once to the latency that is
+// measured.
 //
 // Load pattern: saturation, and a target whose real capacity differs from what
-// it declares. Without a limit all excess work queues inside the target, first
-// come first served, where it can neither be ordered nor dropped: the target
-// spends its time on answers nobody waits for any more. A limit that trusts the
+// it declares. Without a limit all excess requests queue inside the target in
+// order of arrival, where they can be neither reordered nor dropped: the target
+// spends its time on answers whose callers have left. A limit that trusts the
 // declaration alone leaves capacity idle or keeps that queue.
 //
-// Starts at the declared slots. Each window compares mean latency with the
-// best recent one (per class of work, since uploads take longer than lookups):
-// up to kGrowBelow the limit grows by one, above kShrinkAbove it shrinks in
-// proportion; what it has over the declared slots is given back by one above
-// kDropExtraAbove. Places that only lengthen the target's own queue put short
-// work behind long again: with growth up to 1.1 the p99 of short work among
-// long was 70 ms, with 1.03 it is 58 ms. Nothing changes while the limit isn't
-// in use. The best latency is learned only while at most the
-// declared slots run; learned from a saturated target it would follow the queue
-// up, and the limit with it. A cut below the declared slots is a trial: it is
-// taken back when the next window did less work for it, as happens when latency
-// has causes other than concurrency (a slow store). Never below half the slots.
-// Thresholds: docs/design/load-decisions.md, "Concurrency limit".
+// The limit starts at the declared slots. Each window compares the mean latency
+// with the best recent one, for each work class by itself, since uploads take
+// longer than lookups. If the ratio of the two is below kGrowBelow, the limit
+// grows by one; above kShrinkAbove it shrinks in proportion; above
+// kDropExtraAbove it shrinks by one if it exceeds the declared slots. Slots
+// that only lengthen the target's own queue make short work wait behind long
+// work: with growth up to a ratio of 1.1 the p99 of short work mixed with long
+// was 70 ms, with 1.03 it is 58 ms. The limit doesn't change while it isn't
+// fully used.
 //
-// Thread-confined. Counts nothing itself: AdmissionController knows what runs.
+// The best latency is learned only while at most the declared slots run;
+// learned from a saturated target it would rise with the target's queue, and
+// the limit with it. A cut below the declared slots is a trial. It is reverted
+// if the throughput of the next window is lower, as happens when the latency
+// has causes other than concurrency (such as a slow store). The limit never
+// falls below half of the declared slots. Thresholds:
+// docs/design/load-decisions.md, "Concurrency limit".
+//
+// Thread-confined. AdmissionController counts the running requests.
 class ConcurrencyLimit {
  public:
   struct Parameters {
@@ -39,7 +44,8 @@
     std::size_t declared_connections = 1;
     std::chrono::milliseconds window{500};
     std::size_t min_samples = 20;
-    // Best latency is the least of this many kept periods.
+    // The best latency is the lowest mean latency of the last
+    // `baseline_periods` periods.
     std::chrono::seconds baseline_period{10};
     std::size_t baseline_periods = 6;
 
@@ -55,12 +61,14 @@
   ConcurrencyLimit(const ConcurrencyLimit&) = delete;
   ConcurrencyLimit& operator=(const ConcurrencyLimit&) = delete;
 
-  // `running` as it was just before this one ended, itself included.
+  // `running`: the number of running requests just before this one ended,
+  // including it.
   void OnFinished(WorkClass work_class,
                   Clock::Duration latency,
                   std::size_t running);
 
-  // At least 1, at most the declared connections.
+  // At least 1, at most the declared connections (or the declared slots, if
+  // these are more).
   std::size_t limit() const;
 
  private:
--- a/modules/coordination/load/concurrency_limit_test.cc
+++ b/modules/coordination/load/concurrency_limit_test.cc
@@ -12,14 +12,14 @@
 
 constexpr std::size_t kSlots = 12;
 
-// A target that does `places` runs of 20 ms at once and queues the rest.
+// A target that runs `capacity` requests of 20 ms at once and queues the rest.
 class QueueingTarget {
  public:
   explicit QueueingTarget(std::size_t places) : m_capacity(places) {}
 
   void SetRunTime(milliseconds run_time) { m_run_time = run_time; }
 
-  // Keeps the limit in full use for `seconds`.
+  // Keeps as many requests running as the limit allows, for `seconds`.
   void Saturate(ManualClock& clock, ConcurrencyLimit& limit, int seconds) {
     for (int step = 0; step < 50 * seconds; ++step) {
       const std::size_t running = limit.limit();
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-TEST_CASE("a target that can do more than it declares gets more") {
+TEST_CASE("a target with more capacity than declared gets a higher limit") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   QueueingTarget target(30);
@@ -56,10 +56,10 @@
   CHECK(limit.limit() <= 34);
 }
 
-// Callers see every answer late: the target declares twelve slots and has ten.
-// Latency rises with each place, so the limit has no reason to grow; it must
-// not follow the target's own queue upwards, minute after minute.
-TEST_CASE("hours of saturation don't raise the limit of a full target") {
+// The target declares twelve slots and has ten. Latency rises with each further
+// request; if the limit followed the target's own queue upwards, minute after
+// minute, callers would see every answer late.
+TEST_CASE("long saturation doesn't raise the limit of a full target") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   QueueingTarget target(10);
@@ -67,10 +67,11 @@
   CHECK(limit.limit() <= kSlots);
 }
 
-// A store behind the target slows every run down fourfold. Fewer places don't
-// make it faster, so a limit that shrinks with latency alone refuses callers
-// that the target could serve. The cut is tried, does less work, and goes.
-TEST_CASE("a slowdown that is not the target's queue takes no places away") {
+// A store behind the target slows every run down fourfold. A lower limit does
+// not make it faster, so a limit that shrinks with latency alone would refuse
+// callers that the target could serve. The cut is tried, reduces the
+// throughput, and must be reverted.
+TEST_CASE("a slowdown not caused by the target's queue keeps the limit") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   QueueingTarget target(kSlots);
@@ -84,7 +85,7 @@
   CHECK(places >= 20 * (kSlots - 1));
 }
 
-TEST_CASE("a quiet target keeps its declared slots") {
+TEST_CASE("a target with little load keeps its declared slots") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   for (int run = 0; run < 1000; ++run) {
--- a/modules/coordination/load/key_isolation.h
+++ b/modules/coordination/load/key_isolation.h
@@ -8,7 +8,8 @@
 
 namespace citrongrade {
 
-// A hot key that should leave its slot for a slot of its own at `to`.
+// A hot key that should move from its slot to a slot of its own at the member
+// `to`.
 struct KeyIsolation {
   KeyHash key;
   SlotIndex from;
--- a/modules/coordination/load/key_load.h
+++ b/modules/coordination/load/key_load.h
@@ -6,7 +6,7 @@
 
 namespace citrongrade {
 
-// Work that one key causes, in busy slots (seconds of work a second).
+// Work that one key causes, in busy target slots (seconds of work per second).
 struct KeyLoad {
   KeyHash key;
   double load = 0;
--- a/modules/coordination/load/load_errors.h
+++ b/modules/coordination/load/load_errors.h
@@ -7,12 +7,13 @@
 
 namespace citrongrade {
 
-// An end was reported for a request that does not run: reported twice, or it
-// was never admitted. Counts of what runs would drift from the truth.
+// The end of a request that isn't running was reported: it was reported twice,
+// or the request was never admitted. If this were ignored, the counts of
+// running requests would become wrong.
 class UnknownTicketError : public std::logic_error {
  public:
   explicit UnknownTicketError(RequestTicket ticket)
-      : std::logic_error("no such request runs here"), m_ticket(ticket) {}
+      : std::logic_error("the request is not running"), m_ticket(ticket) {}
 
   RequestTicket ticket() const { return m_ticket; }
 
@@ -20,11 +21,11 @@
   RequestTicket m_ticket;
 };
 
-// A target was named that was never added.
+// A call named a target that was never added.
 class UnknownTargetError : public std::logic_error {
  public:
   explicit UnknownTargetError(TargetId target)
-      : std::logic_error("no such target"), m_target(std::move(target)) {}
+      : std::logic_error("unknown target"), m_target(std::move(target)) {}
 
   const TargetId& target() const { return m_target; }
 
--- a/modules/coordination/load/member_load.h
+++ b/modules/coordination/load/member_load.h
@@ -6,7 +6,8 @@
 
 namespace citrongrade {
 
-// One member's work for a service, and what it could do, in busy slots.
+// The load of one member for a service and its capacity, both in busy target
+// slots.
 struct MemberLoad {
   MemberId member;
   double load = 0;
--- a/modules/coordination/load/poison_detector.cc
+++ b/modules/coordination/load/poison_detector.cc
@@ -23,9 +23,9 @@
       : m_clock(clock), m_parameters(parameters) {}
 
   void OnCrash(std::span<const RequestFingerprint> running) {
-    // One that ran several times at once was beside one crash all the same.
-    // Counted for each run, a request that many send was quarantined by a
-    // single crash, for everybody.
+    // A request that ran several times at once was involved in only one crash.
+    // When each run was counted, a single crash quarantined a request that many
+    // callers send, for all of them.
     const std::set<RequestFingerprint> distinct(running.begin(), running.end());
     const std::vector<RequestFingerprint> suspects(distinct.begin(),
                                                    distinct.end());
@@ -44,7 +44,7 @@
     }
   }
 
-  // A late end of an earlier run proves nothing for a request in quarantine:
+  // The late end of an earlier run does not clear a quarantined request, since
   // crashes of three later runs are known.
   void OnEnded(RequestFingerprint mark) {
     const auto found = m_suspects.find(mark);
--- a/modules/coordination/load/poison_detector.h
+++ b/modules/coordination/load/poison_detector.h
@@ -11,22 +11,24 @@
 
 namespace citrongrade {
 
-// Finds requests that crash the targets that run them.
+// Detects requests that crash the targets that run them.
 //
 // Load pattern: a single request crashes each target that runs it, and its
-// caller sends it again. Without this every resend takes one more target, and
-// all that ran there becomes `unknown`.
+// caller resends it. Without detection every resend takes down one more target,
+// and the outcome of all that ran there becomes `unknown`.
 //
-// When a target crashes, all that ran on it are suspects: one crash proves
-// nothing against any one of them. A run that ends clears its request; after
-// `crashes_to_quarantine` crashes without such an end it is quarantined for
-// `quarantine`. Three, as innocents seldom run beside three crashes in a row
-// without ending once in between. Both the request's id and its fingerprint are
-// counted: a caller that resends under a new id is caught by the latter.
+// When a target crashes, all requests that ran on it become suspects; one crash
+// proves nothing against any one of them. A run that ends without a crash
+// clears its request. After `crashes_to_quarantine` crashes without such an end
+// the request is quarantined for `quarantine_duration`. The threshold is three,
+// as innocent requests seldom run beside three crashes in a row without ending
+// once in between. Both the request's id and its fingerprint are counted, the
+// latter to detect a caller that resends under a new id.
 //
-// Memory is bounded by `max_suspects`; the suspect with the oldest crash goes
-// first, never one in quarantine while another can go. Across nodes: send
-// TakeReports() to the peers, who call Merge().
+// Memory is bounded by `max_suspects`: the suspect with the oldest crash is
+// evicted first, and a quarantined one only if all are quarantined. To combine
+// the crashes that several nodes have seen, send TakeReports() to the peers,
+// which call MergePeerReports().
 //
 // Thread-confined.
 class PoisonDetector {
@@ -45,18 +47,20 @@
   PoisonDetector(const PoisonDetector&) = delete;
   PoisonDetector& operator=(const PoisonDetector&) = delete;
 
-  // A target crashed while these ran; one that is named several times ran
-  // several times at once.
+  // A target crashed while these requests were running on it. A request that is
+  // listed several times ran several times at once; it counts once.
   void OnCrash(std::span<const RequestFingerprint> running);
 
-  // The request's run ended without a crash.
+  // A run of the request ended without a crash.
   void OnFinished(RequestFingerprint mark);
 
   bool IsQuarantined(RequestFingerprint mark) const;
 
-  // One crash seen here with one suspect in it, for the peers.
+  // Removes and returns the reports for the peers. Each entry stands for one
+  // crash seen here in which the request was a suspect.
   std::vector<RequestFingerprint> TakeReports();
-  // A peer saw a crash with each of these in it.
+  // Each entry stands for one crash that a peer saw in which the request was a
+  // suspect.
   void MergePeerReports(std::span<const RequestFingerprint> reports);
 
   std::size_t suspect_count() const;
--- a/modules/coordination/load/poison_detector_test.cc
+++ b/modules/coordination/load/poison_detector_test.cc
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-// A request crashes each target that runs it and is sent again each time. After
-// three targets it is stopped; a request that ran beside it ends elsewhere in
-// between and goes free.
-TEST_CASE("three crashes quarantine a request, not those that ran beside it") {
+// A request crashes each target that runs it and is resent each time. It must
+// be stopped after three targets. A request that ran beside it ends elsewhere
+// in between and must not be quarantined.
+TEST_CASE("three crashes quarantine a request, not others that ran beside it") {
   ManualClock clock;
   PoisonDetector detector(clock, PoisonDetector::Parameters{});
   const RequestFingerprint innocent(1);
@@ -36,8 +36,9 @@
   CHECK_FALSE(detector.IsQuarantined(kPoison));
 }
 
-// Many callers send the same request, and several of it run when a target
-// crashes. All of them were refused for ten minutes after that one crash.
+// Many callers send the same request, and several runs of it are active when a
+// target crashes. When each run was counted, all these callers were refused for
+// ten minutes after that one crash.
 TEST_CASE("a crash counts once for a request that ran several times") {
   ManualClock clock;
   PoisonDetector here(clock, PoisonDetector::Parameters{});
@@ -62,9 +63,10 @@
   CHECK(there.IsQuarantined(kPoison));
 }
 
-// A storm of crashes names thousands of suspects. Memory stays bounded, and the
-// one known to be bad is not pushed out by those that may be.
-TEST_CASE("memory is bounded and keeps what is in quarantine") {
+// Many crashes name thousands of suspects. Memory must stay bounded, and a
+// quarantined request must not be evicted for requests that are merely
+// suspected.
+TEST_CASE("memory is bounded and keeps quarantined requests") {
   ManualClock clock;
   PoisonDetector::Parameters parameters;
   parameters.max_suspects = 10;
--- a/modules/coordination/load/rebalancing_plan.h
+++ b/modules/coordination/load/rebalancing_plan.h
@@ -7,7 +7,8 @@
 
 namespace citrongrade {
 
-// What one owner should give away now; empty nearly always.
+// Slots and hot keys that one owner should hand to other members now; usually
+// empty.
 struct RebalancingPlan {
   std::vector<SlotMove> moves;
   std::vector<KeyIsolation> isolations;
--- a/modules/coordination/load/refusal.h
+++ b/modules/coordination/load/refusal.h
@@ -7,7 +7,8 @@
 
 namespace citrongrade {
 
-// A final "not run" answer. `retry_after` already has its jitter.
+// A final answer that the request was not run. `retry_after` already includes
+// jitter.
 struct Refusal {
   RefusalReason reason = RefusalReason::kOverloaded;
   std::chrono::milliseconds retry_after{0};
--- a/modules/coordination/load/refusal_reason.h
+++ b/modules/coordination/load/refusal_reason.h
@@ -4,17 +4,18 @@
 
 namespace citrongrade {
 
-// Why a request was turned away before any target saw it.
+// Why a request was refused before it reached a target.
 enum class RefusalReason {
-  // The bound on waiting requests is reached and all that wait go first.
+  // The bound on queued requests is reached, and all others in the queue go
+  // first.
   kQueueFull,
-  // As kQueueFull, for the bound on the bytes that wait.
+  // As kQueueFull, for the bound on queued bytes.
   kQueueBytesFull,
-  // It would wait longer than work may wait in steady overload.
+  // It would wait longer than requests may wait under steady overload.
   kOverloaded,
-  // It can't be finished before its deadline.
+  // It can't finish before its deadline.
   kDeadlineTooClose,
-  // The target takes no new work.
+  // The target accepts no new requests.
   kTargetLeaving,
 };
 
--- a/modules/coordination/load/refused_request.h
+++ b/modules/coordination/load/refused_request.h
@@ -7,7 +7,7 @@
 
 namespace citrongrade {
 
-// A request that waited and is now given up; it never reached the target.
+// A request that was queued and is now refused; it never reached the target.
 struct RefusedRequest {
   RequestTicket ticket;
   Refusal refusal;
--- a/modules/coordination/load/request_metadata.h
+++ b/modules/coordination/load/request_metadata.h
@@ -9,13 +9,13 @@
 
 namespace citrongrade {
 
-// What the decisions under load know of a request; never its content.
+// What the load decisions know of a request; never its content.
 struct RequestMetadata {
   RequestTicket ticket;
   CallerHash caller;
   KeyHash key;
   WorkClass work_class = WorkClass::kShort;
-  // Memory that it holds while it waits: body and headers.
+  // Memory of body and headers that the request holds while it is queued.
   std::size_t bytes = 0;
   Clock::TimePoint deadline;
 
--- a/modules/coordination/load/request_queue.cc
+++ b/modules/coordination/load/request_queue.cc
@@ -14,13 +14,15 @@
 
 namespace {
 
-// Work in a body grows with its size; below this, requests cost alike.
+// The cost of a request grows with its size; all requests below this size cost
+// one unit.
 constexpr double kBytesPerCostUnit = 1024.0 * 1024.0;
 
-// A caller with more than this many times the mean is over its share.
+// A caller with more than this many times the mean of queued requests is over
+// its share.
 constexpr double kOverShareFactor = 2;
 
-// Where a request stands: by finish tag, then by arrival.
+// Position in the queue: by finish tag, then by arrival.
 struct QueuePosition {
   double finish_tag = 0;
   std::uint64_t arrival = 0;
@@ -28,9 +30,9 @@
   friend auto operator<=>(const QueuePosition&, const QueuePosition&) = default;
 };
 
-// The standing of one caller or key.
+// Fair queueing state of one caller or key.
 struct Flow {
-  // Where its next request starts, unless virtual time has passed it.
+  // Start tag of its next request, unless the virtual time has passed it.
   double next_start_tag = 0;
   std::size_t waiting = 0;
 };
@@ -45,7 +47,7 @@
   return std::max(1.0, static_cast<double>(facts.bytes) / kBytesPerCostUnit);
 }
 
-// An ordered map that also tells the rank of a place in logarithmic time.
+// An ordered map that also gives the rank of a position in logarithmic time.
 using OrderedEntries =
     __gnu_pbds::tree<QueuePosition,
                      QueueEntry,
@@ -83,11 +85,11 @@
                                   : static_cast<double>(found->second.waiting);
   }
 
-  // Flows that something waits for.
+  // Number of flows with queued requests.
   std::size_t active() const { return m_active; }
 
-  // Gives back what a request that never ran had cost its flow, when it was
-  // the last one: the flow's earlier ones still count.
+  // Takes back the cost of a request that never ran, if it was the last one of
+  // its flow; the earlier ones still count.
   void Refund(Hash hash, double start, double end) {
     Flow& flow = m_flows.at(hash);
     if (flow.next_start_tag == end) {
@@ -98,9 +100,10 @@
   void Clear() { m_flows.clear(); }
 
  private:
-  // Flows that nothing waits for are kept only for their tags. Callers that
-  // come once each would otherwise grow the table without end while the queue
-  // stays busy; forgetting gives such a caller one place too early, no more.
+  // Flows without queued requests are kept only for their tags. Callers that
+  // come once each would otherwise grow the table without bound while the queue
+  // stays busy. Removing such a caller puts its next request at most one place
+  // too early.
   void RemoveIdleAtBound() {
     if (m_flows.size() < m_bound) {
       return;
@@ -206,7 +209,8 @@
     return {StartTagOf(facts) + CostOf(facts), m_next_arrival};
   }
 
-  // Evicts from the far end while the new one is nearer the front.
+  // Evicts from the back of the queue while the new request goes before the
+  // last one.
   bool MakeRoom(const RequestMetadata& facts,
                 QueuePosition place,
                 PushResult& result) {
@@ -224,8 +228,8 @@
     return true;
   }
 
-  // Decided before anything is evicted: evicting and then refusing the new one
-  // as well would cost two requests for nothing.
+  // Checked before anything is evicted: evicting a request and then refusing
+  // the new one as well would lose two requests for nothing.
   bool CanMakeRoom(const RequestMetadata& facts,
                    QueuePosition place,
                    bool& by_bytes) {
@@ -263,14 +267,15 @@
     m_keys.Add(facts.key, item.key_finish_tag);
     m_entries.insert({place, item});
     const bool is_new = m_positions.emplace(facts.ticket, place).second;
-    // The caller used one ticket for two requests.
+    // A ticket must not be reused while its request waits.
     assert(is_new);
     static_cast<void>(is_new);
     m_bytes += facts.bytes;
     ++m_next_arrival;
   }
 
-  // The last place first: a flow's tags are refunded from its end.
+  // Removes the last position first, since a flow's tags are refunded from its
+  // end.
   std::vector<RequestMetadata> TakeFromBack(
       const std::vector<QueuePosition>& places) {
     std::vector<RequestMetadata> taken;
@@ -307,8 +312,8 @@
     }
   }
 
-  // With nothing waiting nobody is ahead of anybody; this also keeps tags
-  // small, so that steps never vanish in a double's rounding.
+  // With an empty queue no flow is ahead of another. Resetting also keeps the
+  // tags small, so that a cost unit is never lost in a double's rounding.
   void ResetTags() {
     m_virtual_time = 0;
     m_callers.Clear();
--- a/modules/coordination/load/request_queue.h
+++ b/modules/coordination/load/request_queue.h
@@ -11,24 +11,27 @@
 
 namespace citrongrade {
 
-// Requests of one class that wait for one target, in fair order.
+// Queues the requests of one work class for one target, in fair order.
 //
-// Load pattern: a few callers, or a few keys, that take most of the load. First
-// come first served gives each caller a share in proportion to what it sends:
-// one that sends ten times its share takes ten elevenths of the target.
+// Load pattern: a few callers, or a few keys, cause most of the load. In order
+// of arrival each caller gets a share in proportion to what it sends: one that
+// sends ten times its share takes ten elevenths of the target.
 //
-// Self-clocked fair queueing: each request gets a finish tag, one step after
-// the caller's one before it, and at least a fraction of a step after its key's
-// one before it; the lowest tag goes first, and the tag that went last is where
-// newcomers start. A caller that sends more only moves its own tags back.
-// Start-time tags were tried first: newcomers went before whoever had two
-// waiting, for as long as there were newcomers (saturation-1x: p99 1400 ms).
-// `callers_per_key` says how many callers' worth of work one key may have: a
-// busy engagement serves many auditors, but doesn't take the target.
-// Bounds: when count or bytes are reached the highest tag goes, be it the new
-// request or one that waits, so whoever is furthest over its share pays.
+// Self-clocked fair queueing: each request gets a finish tag, at least one cost
+// unit after the tag of the caller's previous request, and at least a fraction
+// of a unit after that of its key's previous request. The request with the
+// lowest tag is served first, and the tag served last is where the tags of new
+// callers start. A caller that sends more only moves its own tags back.
+// Start-time tags were tried first: new callers were served before any caller
+// with two queued requests, for as long as new callers arrived (saturation-1x:
+// p99 1400 ms).
 //
-// Thread-confined. Does not know what runs; kin: AdmissionController.
+// `key_weight` is the number of callers that one key counts as: a key that many
+// callers use is served well, but can't take the whole target. When the bound
+// on count or bytes is reached, the request with the highest tag is dropped, be
+// it the new or a queued one, so that the caller furthest over its share pays.
+//
+// Thread-confined. AdmissionController keeps track of the running requests.
 class RequestQueue {
  public:
   struct Parameters {
@@ -41,9 +44,10 @@
 
   struct PushResult {
     bool accepted = false;
-    // Made room for the new one; never contains the new one.
+    // Queued requests that were dropped for the new one; never contains the new
+    // one.
     std::vector<RequestMetadata> evicted;
-    // True when the bound on bytes decided, false for the one on count.
+    // True if the bound on bytes applied, false if the bound on count did.
     bool limited_by_bytes = false;
 
     friend auto operator<=>(const PushResult&, const PushResult&) = default;
@@ -54,11 +58,12 @@
   RequestQueue(const RequestQueue&) = delete;
   RequestQueue& operator=(const RequestQueue&) = delete;
 
-  // How many of those that wait would go before this one.
+  // Number of queued requests that would be served before this one.
   std::size_t RankOf(const RequestMetadata& facts) const;
 
-  // Whether its caller or its key already has more than twice the mean share of
-  // what waits. Not for a queue that few wait in: all have too much of that.
+  // Whether the caller or the key has more than twice its mean share of the
+  // queued requests. Never true while at most two callers have requests queued,
+  // since one of them easily has most of a short queue.
   bool IsOverFairShare(const RequestMetadata& facts) const;
 
   PushResult Push(const RequestMetadata& facts, Clock::TimePoint now);
@@ -73,11 +78,11 @@
 
   std::optional<QueuedRequest> Pop();
 
-  // False when it does not wait here.
+  // Returns false if the request isn't queued.
   bool Cancel(RequestTicket ticket);
 
-  // Takes out all that can't be finished in time. The request at rank r is
-  // expected to end at `first_end` + r * `per_rank`.
+  // Removes and returns the requests that can't finish in time. The request at
+  // rank r is expected to end at `first_end` + r * `per_rank`.
   std::vector<RequestMetadata> TakeUnmeetable(Clock::TimePoint first_end,
                                               Clock::Duration per_rank);
 
--- a/modules/coordination/load/request_queue_test.cc
+++ b/modules/coordination/load/request_queue_test.cc
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-// One caller has a hundred requests waiting when another sends three. First
-// come first served, the three would wait for all hundred.
-TEST_CASE("a caller with many waiting does not hold up one with few") {
+// One caller has a hundred requests queued when another sends three. In order
+// of arrival, the three would wait for all hundred.
+TEST_CASE("a caller with many queued requests does not delay one with few") {
   RequestQueue queue(RequestQueue::Parameters{});
   for (std::uint64_t i = 0; i < 100; ++i) {
     queue.Push(Request(i, 1, i), kNow);
@@ -49,9 +49,10 @@
   CHECK(of_second == 3);
 }
 
-// Two hundred callers ask for one key, and one caller asks for another. By
-// callers alone the one would wait behind two hundred; a key counts as eight.
-TEST_CASE("a key asked for by many callers does not take the whole queue") {
+// Two hundred callers request one key, and one caller requests another. With
+// fairness among callers alone, the one would wait behind two hundred; a key
+// counts as eight callers.
+TEST_CASE("a key requested by many callers does not take the whole queue") {
   RequestQueue queue(RequestQueue::Parameters{});
   for (std::uint64_t i = 0; i < 200; ++i) {
     queue.Push(Request(i, i, 7), kNow);
@@ -65,9 +66,9 @@
   CHECK(before <= 9);
 }
 
-// Newcomers keep arriving while one caller has two requests waiting. Were each
-// newcomer put first, the second would never get its turn.
-TEST_CASE("a second request of a caller is not overtaken for ever") {
+// New callers keep arriving while one caller has two requests queued. If each
+// new caller went first, the second request would never be served.
+TEST_CASE("the second request of a caller is not overtaken forever") {
   RequestQueue queue(RequestQueue::Parameters{});
   queue.Push(Request(1, 1, 1), kNow);
   queue.Push(Request(2, 1, 2), kNow);
@@ -82,9 +83,9 @@
   CHECK(pops <= 5);
 }
 
-// The queue is full of one caller's requests when another sends its first.
-// Refusing newcomers would let whoever came first keep everyone else out.
-TEST_CASE("at the bound the caller furthest over its share pays") {
+// The queue is full of one caller's requests when another sends its first. If
+// new requests were refused, whoever came first would keep all others out.
+TEST_CASE("at the bound the caller furthest over its share loses a request") {
   RequestQueue queue(Bounds(10, 1 << 20U));
   for (std::uint64_t i = 0; i < 10; ++i) {
     queue.Push(Request(i, 1, i), kNow);
@@ -99,7 +100,7 @@
   CHECK(queue.size() == 10);
 }
 
-TEST_CASE("bytes are bounded, and one too large evicts nobody") {
+TEST_CASE("bytes are bounded, and a request over the bound evicts none") {
   RequestQueue queue(Bounds(10, 1000));
   queue.Push(Request(1, 1, 1, 600), kNow);
   const auto second = queue.Push(Request(2, 1, 2, 600), kNow);
@@ -111,7 +112,7 @@
   CHECK(queue.bytes() == 600);
 }
 
-TEST_CASE("those that can't end in time go, and make room for later ones") {
+TEST_CASE("requests that can't end in time don't delay later ones") {
   RequestQueue queue(RequestQueue::Parameters{});
   for (std::uint64_t i = 0; i < 4; ++i) {
     RequestMetadata facts = Request(i, i, i);
@@ -124,7 +125,7 @@
   CHECK(hopeless[0].ticket == RequestTicket(1));
 }
 
-TEST_CASE("a cancelled request is gone and costs its caller nothing") {
+TEST_CASE("a cancelled request is removed and costs its caller nothing") {
   RequestQueue queue(RequestQueue::Parameters{});
   queue.Push(Request(1, 1, 1), kNow);
   queue.Push(Request(2, 2, 2), kNow);
--- a/modules/coordination/load/retry_after_pacer.h
+++ b/modules/coordination/load/retry_after_pacer.h
@@ -7,20 +7,20 @@
 
 namespace citrongrade {
 
-// The Retry-After that refused callers are told.
+// Computes the Retry-After values of refused requests.
 //
 // Load pattern: saturation, and callers that resend everything. A fixed
-// Retry-After sends all that one second refused back in one later second, on
-// top of that second's own load: refusals multiply and outlast the rush. This
-// hands out moments to come back, one after another, no denser than
-// `return_share` of the target's capacity; past `longest` they spread at random
-// over the last half of it.
+// Retry-After sends all requests that one second refused back in one later
+// second, on top of that second's own load: refusals multiply and outlast the
+// burst. This class assigns retry times one after another, at a rate of at most
+// `retry_capacity_share` of the target's capacity. Values above
+// `max_retry_after` are replaced by random ones from its upper half.
 //
 // Thread-confined.
 class RetryAfterPacer {
  public:
   struct Parameters {
-    // Part of the capacity that is left for callers who come back.
+    // Share of the capacity that is reserved for callers who retry.
     double retry_capacity_share = 0.25;
     std::chrono::milliseconds min_retry_after{100};
     std::chrono::milliseconds max_retry_after{20'000};
@@ -32,8 +32,9 @@
                   std::mt19937_64& random,
                   const Parameters& parameters);
 
-  // `capacity_per_second`: requests that the target finishes now. The earliest
-  // moment given out is `expected_wait` away.
+  // `capacity_per_second`: requests per second that the target currently
+  // finishes. The result is at least `expected_wait`, unless that exceeds
+  // `max_retry_after`.
   std::chrono::milliseconds NextRetryAfter(double capacity_per_second,
                                            Clock::Duration expected_wait);
 
--- a/modules/coordination/load/retry_after_pacer_test.cc
+++ b/modules/coordination/load/retry_after_pacer_test.cc
@@ -10,9 +10,10 @@
 
 using std::chrono::milliseconds;
 
-// Two thousand callers are refused in one moment by a target that does a
-// hundred a second. Told the same pause, all would come back in one moment.
-TEST_CASE("refused callers come back no faster than they can be served") {
+// Five hundred callers are refused at one moment by a target that finishes a
+// hundred requests per second. With equal Retry-After values, all would return
+// at one moment.
+TEST_CASE("refused callers return no faster than they can be served") {
   ManualClock clock;
   std::mt19937_64 random(1);
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
@@ -26,7 +27,7 @@
   }
 }
 
-TEST_CASE("past the longest pause callers are spread, never put off for more") {
+TEST_CASE("beyond the longest Retry-After callers are spread at random") {
   ManualClock clock;
   std::mt19937_64 random(1);
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
@@ -39,7 +40,7 @@
   CHECK(returns_by_second[15] < 3000);
 }
 
-TEST_CASE("nobody is asked back before the wait that was expected") {
+TEST_CASE("no Retry-After is shorter than the expected wait") {
   ManualClock clock;
   std::mt19937_64 random(1);
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
--- a/modules/coordination/load/retry_backoff.cc
+++ b/modules/coordination/load/retry_backoff.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Past this many doublings every pause is the longest one, and a shift by more
-// bits than the number has would be undefined.
+// After this many doublings every delay is the maximum; a shift by more bits
+// than the type has would be undefined.
 constexpr unsigned kMaxDoublings = 20;
 
 }  // namespace
--- a/modules/coordination/load/retry_backoff.h
+++ b/modules/coordination/load/retry_backoff.h
@@ -5,12 +5,12 @@
 
 namespace citrongrade {
 
-// Pause before a node's own retry: exponential, with full jitter.
+// Delay before a retry by this node: exponential backoff with full jitter.
 //
-// Load pattern: an outage ends. All that failed at one moment retry at one
-// moment without jitter, fail together and meet again at each step.
+// Load pattern: an outage ends. Without jitter, all requests that failed at one
+// moment retry at one moment, fail together and collide again at each step.
 //
-// Thread-confined. For what callers are told, see RetryAfterPacer.
+// Thread-confined. For the delay that callers are told, see RetryAfterPacer.
 class RetryBackoff {
  public:
   struct Parameters {
@@ -22,8 +22,8 @@
 
   RetryBackoff(std::mt19937_64& random, const Parameters& parameters);
 
-  // `retry`: 0 for the first. Never shorter than `retry_after`, which the one
-  // that refused has asked for.
+  // `retry`: 0 for the first retry. The result is never shorter than
+  // `retry_after`, which the refusing side has asked for.
   std::chrono::milliseconds Delay(unsigned retry,
                                   std::chrono::milliseconds retry_after);
 
--- a/modules/coordination/load/retry_backoff_test.cc
+++ b/modules/coordination/load/retry_backoff_test.cc
@@ -9,9 +9,9 @@
 
 using std::chrono::milliseconds;
 
-// A thousand requests fail in one moment. Without jitter they come back in one
+// A thousand requests fail at one moment. Without jitter they retry at one
 // moment, at every step.
-TEST_CASE("those who failed together don't come back together") {
+TEST_CASE("requests that failed together don't retry together") {
   std::mt19937_64 random(1);
   RetryBackoff backoff(random, {milliseconds(10), milliseconds(1000)});
   std::set<milliseconds> pauses;
@@ -22,7 +22,7 @@
   CHECK(*pauses.rbegin() <= milliseconds(640));
 }
 
-TEST_CASE("no pause is shorter than asked for or longer than the longest") {
+TEST_CASE("delays stay between retry_after and the longest backoff above it") {
   std::mt19937_64 random(1);
   RetryBackoff backoff(random, {milliseconds(10), milliseconds(1000)});
   for (unsigned retry = 0; retry < 100; ++retry) {
--- a/modules/coordination/load/retry_budget.h
+++ b/modules/coordination/load/retry_budget.h
@@ -4,16 +4,16 @@
 
 namespace citrongrade {
 
-// Bounds retries inside the system to a share of first tries.
+// Limits retries inside the mesh to a share of the first attempts.
 //
-// Load pattern: callers and nodes that resend all they lose. Without it a
-// failing mesh gets twice or three times its load at the moment it fails, and
-// stays down after the cause is gone. With a share of 0.1, retries add at most
-// a tenth, however many requests fail; `burst` lets a quiet service retry at
-// all.
+// Load pattern: callers and nodes that resend every failed request. Without a
+// budget a failing mesh gets two or three times its load at the moment it
+// fails, and stays overloaded after the cause is gone. With a share of 0.1,
+// retries add at most a tenth, however many requests fail; `max_tokens` lets a
+// service with few requests retry at all.
 //
-// Needs no clock: first tries are what it counts by. Thread-confined; one for
-// each service on a node.
+// Needs no clock, since tokens are earned by first attempts. Thread-confined;
+// one budget for each service on a node.
 class RetryBudget {
  public:
   struct Parameters {
@@ -27,7 +27,8 @@
 
   void OnFirstAttempt();
 
-  // Whether to retry a request that carries `allowance`; pays for it if so.
+  // Returns whether to retry a request that carries `allowance`, and takes a
+  // token if so.
   bool TryAcquire(RetryAllowance allowance);
 
  private:
--- a/modules/coordination/load/retry_budget_test.cc
+++ b/modules/coordination/load/retry_budget_test.cc
@@ -4,9 +4,9 @@
 
 namespace citrongrade {
 
-// Every request fails and would be tried again. Without the budget the failing
-// mesh gets twice its load; with it, a tenth more.
-TEST_CASE("when all fail, retries stay a tenth of first tries") {
+// Every request fails and would be retried. Without the budget the failing mesh
+// gets twice its load; with it, a tenth more.
+TEST_CASE("when all requests fail, retries stay a tenth of first attempts") {
   RetryBudget budget(RetryBudget::Parameters{});
   int retries = 0;
   for (int request = 0; request < 10'000; ++request) {
@@ -17,7 +17,7 @@
   CHECK(retries >= 990);
 }
 
-TEST_CASE("attempts spent on the way before count as well") {
+TEST_CASE("attempts used by earlier nodes count as well") {
   RetryBudget budget(RetryBudget::Parameters{});
   RetryAllowance allowance{2};
   allowance = allowance.AfterRetry().AfterRetry();
