--- a/modules/coordination/load/admission_controller.cc
+++ b/modules/coordination/load/admission_controller.cc
@@ -64,9 +64,9 @@
   }
 
   double average() const {
-    const std::chrono::duration<double> held = m_clock.Now() - m_updated;
-    const double kept = std::exp(-held / kDemandTimeConstant);
-    return m_demand + (m_average - m_demand) * kept;
+    const std::chrono::duration<double> elapsed = m_clock.Now() - m_updated;
+    const double decay = std::exp(-elapsed / kDemandTimeConstant);
+    return m_demand + (m_average - m_demand) * decay;
   }
 
  private:
@@ -131,14 +131,14 @@
     UpdateLoad();
   }
 
-  AdmissionDecision Offer(const RequestMetadata& facts) {
+  AdmissionDecision Offer(const RequestMetadata& request) {
     if (m_stopped) {
-      return Refuse(facts.work_class, RefusalReason::kTargetLeaving, {});
+      return Refuse(request.work_class, RefusalReason::kTargetLeaving, {});
     }
-    if (CanStartImmediately(facts.work_class)) {
-      return StartOrRefuseOffered(facts);
+    if (CanStartImmediately(request.work_class)) {
+      return StartOrRefuseOffered(request);
     }
-    return QueueOrRefuse(facts);
+    return QueueOrRefuse(request);
   }
 
   void OnFinished(RequestTicket ticket,
@@ -242,12 +242,13 @@
       return EffectiveLimit();
     }
     const double staffing = std::ceil(demand + std::sqrt(demand));
-    const std::size_t kept =
+    const std::size_t reserved =
         std::max(static_cast<std::size_t>(staffing),
                  EffectiveLimit() / kGuaranteedLimitDivisor);
     const std::size_t guaranteed = MinLongConcurrency();
-    return kept + guaranteed >= EffectiveLimit() ? guaranteed
-                                                 : EffectiveLimit() - kept;
+    return reserved + guaranteed >= EffectiveLimit()
+               ? guaranteed
+               : EffectiveLimit() - reserved;
   }
 
   bool CanStartImmediately(WorkClass work_class) const {
@@ -273,34 +274,35 @@
     return RunningOf(work_class) == 0;
   }
 
-  AdmissionDecision StartOrRefuseOffered(const RequestMetadata& facts) {
+  AdmissionDecision StartOrRefuseOffered(const RequestMetadata& request) {
     const Clock::TimePoint now = m_clock.Now();
-    const bool in_time =
-        IsProbe(facts.work_class)
-            ? now < facts.deadline
-            : now + ServiceTimeOf(facts.work_class).mean() <= facts.deadline;
+    const bool in_time = IsProbe(request.work_class)
+                             ? now < request.deadline
+                             : now + ServiceTimeOf(request.work_class).mean() <=
+                                   request.deadline;
     if (!in_time) {
-      return Refuse(facts.work_class, RefusalReason::kDeadlineTooClose, {});
+      return Refuse(request.work_class, RefusalReason::kDeadlineTooClose, {});
     }
-    Start(facts);
+    Start(request);
     return {};
   }
 
-  AdmissionDecision QueueOrRefuse(const RequestMetadata& facts) {
-    const std::size_t rank = QueueOf(facts.work_class).RankOf(facts);
+  AdmissionDecision QueueOrRefuse(const RequestMetadata& request) {
+    const std::size_t rank = QueueOf(request.work_class).RankOf(request);
     const Clock::Duration wait =
         ExpectedStall() +
-        static_cast<std::int64_t>(rank + 1) * TimePerRank(facts.work_class);
+        static_cast<std::int64_t>(rank + 1) * TimePerRank(request.work_class);
     const Clock::TimePoint end =
-        m_clock.Now() + wait + ServiceTimeOf(facts.work_class).upper_estimate();
-    if (end > facts.deadline) {
-      return Refuse(facts.work_class, RefusalReason::kDeadlineTooClose, wait);
+        m_clock.Now() + wait +
+        ServiceTimeOf(request.work_class).upper_estimate();
+    if (end > request.deadline) {
+      return Refuse(request.work_class, RefusalReason::kDeadlineTooClose, wait);
     }
-    const bool is_long_wait = wait > MaxWaitWithoutCredit(facts.work_class);
-    if (is_long_wait && !TrySpendCredit(facts)) {
-      return Refuse(facts.work_class, RefusalReason::kOverloaded, wait);
+    const bool is_long_wait = wait > MaxWaitWithoutCredit(request.work_class);
+    if (is_long_wait && !TrySpendCredit(request)) {
+      return Refuse(request.work_class, RefusalReason::kOverloaded, wait);
     }
-    return Enqueue(facts, wait);
+    return Enqueue(request, wait);
   }
 
   Clock::Duration MaxWaitWithoutCredit(WorkClass work_class) const {
@@ -315,17 +317,18 @@
   // A caller that is over its fair share gets no credit: it would spend the
   // credit that all callers need, and they would then be refused because of its
   // burst.
-  bool TrySpendCredit(const RequestMetadata& facts) {
-    if (QueueOf(facts.work_class).IsOverFairShare(facts)) {
+  bool TrySpendCredit(const RequestMetadata& request) {
+    if (QueueOf(request.work_class).IsOverFairShare(request)) {
       return false;
     }
-    return m_credit.TrySpend(ToSeconds(ServiceTimeOf(facts.work_class).mean()));
+    return m_credit.TrySpend(
+        ToSeconds(ServiceTimeOf(request.work_class).mean()));
   }
 
-  AdmissionDecision Enqueue(const RequestMetadata& facts,
+  AdmissionDecision Enqueue(const RequestMetadata& request,
                             Clock::Duration wait) {
     const RequestQueue::PushResult result =
-        QueueOf(facts.work_class).Push(facts, m_clock.Now());
+        QueueOf(request.work_class).Push(request, m_clock.Now());
     const RefusalReason reason = result.limited_by_bytes
                                      ? RefusalReason::kQueueBytesFull
                                      : RefusalReason::kQueueFull;
@@ -333,7 +336,7 @@
       RefuseQueued(evicted, reason, wait);
     }
     if (!result.accepted) {
-      return Refuse(facts.work_class, reason, wait);
+      return Refuse(request.work_class, reason, wait);
     }
     UpdateLoad();
     return {AdmissionDecision::Verdict::kQueued, std::nullopt};
@@ -364,8 +367,9 @@
     if (m_running.empty()) {
       return {};
     }
-    const Clock::Duration still = m_clock.Now() - m_last_progress;
-    return still > LongestExpectedRunTime() ? still : Clock::Duration(0);
+    const Clock::Duration stalled_for = m_clock.Now() - m_last_progress;
+    return stalled_for > LongestExpectedRunTime() ? stalled_for
+                                                  : Clock::Duration(0);
   }
 
   // A refusal by the target is fast and says nothing about the time of a run. A
@@ -385,8 +389,8 @@
   // with the freeze in its latency. Recorded as run times, these would have
   // every request refused as too late just when the target has recovered. Only
   // the first one is recorded, and as at most kMaxSampleFactorAfterStall times
-  // the expected run time; if run times have really grown that much, the next
-  // samples reach them in a few steps.
+  // the upper estimate of the run time; if run times have really grown that
+  // much, the next samples reach them in a few steps.
   void RecordServiceTime(const RunningRequest& ended, Clock::Duration latency) {
     const Clock::TimePoint now = m_clock.Now();
     if (now - m_last_progress >
@@ -414,20 +418,20 @@
                : of_short;
   }
 
-  void Start(const RequestMetadata& facts) {
+  void Start(const RequestMetadata& request) {
     if (m_running.empty()) {
       m_last_progress = m_clock.Now();
     }
     const bool is_new =
         m_running
-            .emplace(facts.ticket,
-                     RunningRequest{facts.work_class, m_clock.Now(),
-                                    facts.deadline, false})
+            .emplace(request.ticket,
+                     RunningRequest{request.work_class, m_clock.Now(),
+                                    request.deadline, false})
             .second;
     // A ticket must not be reused while its request waits or runs.
     assert(is_new);
     static_cast<void>(is_new);
-    ++m_running_of[IndexOf(facts.work_class)];
+    ++m_running_of[IndexOf(request.work_class)];
     ++m_admitted_total;
     UpdateLoad();
   }
@@ -455,19 +459,19 @@
 
   void StartOrRefuse(const RequestQueue::QueuedRequest& waiting,
                      AdmissionChanges& changes) {
-    const RequestMetadata& facts = waiting.facts;
+    const RequestMetadata& request = waiting.request;
     const Clock::TimePoint now = m_clock.Now();
     const Clock::Duration needed =
-        IsProbe(facts.work_class)
+        IsProbe(request.work_class)
             ? Clock::Duration(1)
-            : ServiceTimeOf(facts.work_class).upper_estimate();
-    if (now + needed > facts.deadline) {
-      RefuseQueued(facts, RefusalReason::kDeadlineTooClose, {});
+            : ServiceTimeOf(request.work_class).upper_estimate();
+    if (now + needed > request.deadline) {
+      RefuseQueued(request, RefusalReason::kDeadlineTooClose, {});
       return;
     }
     m_wait_times(ToSeconds(now - waiting.enqueued_at));
-    Start(facts);
-    changes.admitted.push_back(facts.ticket);
+    Start(request);
+    changes.admitted.push_back(request.ticket);
   }
 
   void SweepWhenDue(AdmissionChanges& changes) {
@@ -482,13 +486,15 @@
   }
 
   void RefuseUnmeetable(WorkClass work_class) {
-    const Clock::Duration first =
+    const Clock::Duration time_to_first_end =
         ExpectedStall() + ServiceTimeOf(work_class).upper_estimate();
-    const std::vector<RequestMetadata> hopeless =
+    const std::vector<RequestMetadata> unmeetable =
         QueueOf(work_class)
-            .TakeUnmeetable(m_clock.Now() + first, TimePerRank(work_class));
-    for (const RequestMetadata& facts : hopeless) {
-      RefuseQueued(facts, RefusalReason::kDeadlineTooClose, first);
+            .TakeUnmeetable(m_clock.Now() + time_to_first_end,
+                            TimePerRank(work_class));
+    for (const RequestMetadata& request : unmeetable) {
+      RefuseQueued(request, RefusalReason::kDeadlineTooClose,
+                   time_to_first_end);
     }
   }
 
@@ -504,8 +510,8 @@
 
   void RefuseAllQueued() {
     for (RequestQueue& queue : m_queues) {
-      for (const RequestMetadata& facts : queue.TakeAll()) {
-        RefuseQueued(facts, RefusalReason::kTargetLeaving, {});
+      for (const RequestMetadata& request : queue.TakeAll()) {
+        RefuseQueued(request, RefusalReason::kTargetLeaving, {});
       }
     }
   }
@@ -526,11 +532,11 @@
             MakeRefusal(work_class, reason, wait)};
   }
 
-  void RefuseQueued(const RequestMetadata& facts,
+  void RefuseQueued(const RequestMetadata& request,
                     RefusalReason reason,
                     Clock::Duration wait) {
     m_refused.push_back(
-        {facts.ticket, MakeRefusal(facts.work_class, reason, wait)});
+        {request.ticket, MakeRefusal(request.work_class, reason, wait)});
   }
 
   void UpdateLoad() {
@@ -570,8 +576,8 @@
 
 AdmissionController::~AdmissionController() = default;
 
-AdmissionDecision AdmissionController::Offer(const RequestMetadata& facts) {
-  return m_impl->Offer(facts);
+AdmissionDecision AdmissionController::Offer(const RequestMetadata& request) {
+  return m_impl->Offer(request);
 }
 
 void AdmissionController::OnFinished(RequestTicket ticket,
--- a/modules/coordination/load/admission_controller.h
+++ b/modules/coordination/load/admission_controller.h
@@ -76,7 +76,7 @@
   AdmissionController(const AdmissionController&) = delete;
   AdmissionController& operator=(const AdmissionController&) = delete;
 
-  AdmissionDecision Offer(const RequestMetadata& facts);
+  AdmissionDecision Offer(const RequestMetadata& request);
 
   // `latency`: from sending the request to the target until the end of the
   // answer. Throws UnknownTicketError if the request isn't running.
--- a/modules/coordination/load/admission_controller_test.cc
+++ b/modules/coordination/load/admission_controller_test.cc
@@ -30,15 +30,15 @@
     return parameters;
   }
 
-  AdmissionDecision Offer(milliseconds patience,
+  AdmissionDecision Offer(milliseconds time_left,
                           WorkClass work_class = WorkClass::kShort) {
-    RequestMetadata facts;
-    facts.ticket = RequestTicket(++m_last_ticket);
-    facts.caller = CallerHash(m_last_ticket);
-    facts.key = KeyHash(m_last_ticket);
-    facts.work_class = work_class;
-    facts.deadline = m_clock.Now() + patience;
-    return m_admission.Offer(facts);
+    RequestMetadata request;
+    request.ticket = RequestTicket(++m_last_ticket);
+    request.caller = CallerHash(m_last_ticket);
+    request.key = KeyHash(m_last_ticket);
+    request.work_class = work_class;
+    request.deadline = m_clock.Now() + time_left;
+    return m_admission.Offer(request);
   }
 
   // Offers and finishes one run of `latency`, so that the run time is known.
--- a/modules/coordination/load/body_transfer_scheduler.cc
+++ b/modules/coordination/load/body_transfer_scheduler.cc
@@ -63,12 +63,12 @@
 std::map<RequestTicket, BodyTransferScheduler::Body>::iterator
 BodyTransferScheduler::FindNext() {
   const Clock::TimePoint now = m_clock.Now();
-  const auto timely = std::find_if(
+  const auto on_time = std::find_if(
       m_waiting.begin(), m_waiting.end(), [this, now](const auto& entry) {
         return now + TransferTime(m_bytes_in_flight + entry.second.bytes) <
                entry.second.soft_deadline;
       });
-  return timely == m_waiting.end() ? m_waiting.begin() : timely;
+  return on_time == m_waiting.end() ? m_waiting.begin() : on_time;
 }
 
 BodyTransferScheduler::Changes BodyTransferScheduler::Poll() {
--- a/modules/coordination/load/body_transfer_scheduler_test.cc
+++ b/modules/coordination/load/body_transfer_scheduler_test.cc
@@ -19,14 +19,15 @@
   BodyTransferScheduler::Verdict Offer(
       std::uint64_t number,
       std::uint64_t bytes = kBytes,
-      milliseconds aim = milliseconds(500),
-      milliseconds latest = milliseconds(2000)) {
-    return room.Offer({RequestTicket(number), bytes, clock.Now() + aim,
-                       clock.Now() + latest});
+      milliseconds soft_deadline = milliseconds(500),
+      milliseconds deadline = milliseconds(2000)) {
+    return scheduler.Offer({RequestTicket(number), bytes,
+                            clock.Now() + soft_deadline,
+                            clock.Now() + deadline});
   }
 
   ManualClock clock;
-  BodyTransferScheduler room{clock, kRate};
+  BodyTransferScheduler scheduler{clock, kRate};
 };
 
 }  // namespace
@@ -38,20 +39,20 @@
   CHECK(Offer(2) == BodyTransferScheduler::Verdict::kGranted);
   CHECK(Offer(3) == BodyTransferScheduler::Verdict::kQueued);
   CHECK(Offer(4, 100) == BodyTransferScheduler::Verdict::kQueued);
-  CHECK(room.Poll().granted.empty());
-  room.OnFinished(RequestTicket(1));
-  const BodyTransferScheduler::Changes changes = room.Poll();
+  CHECK(scheduler.Poll().granted.empty());
+  scheduler.OnFinished(RequestTicket(1));
+  const BodyTransferScheduler::Changes changes = scheduler.Poll();
   REQUIRE(changes.granted.size() == 2);
   CHECK(changes.granted[0] == RequestTicket(3));
-  CHECK(room.bytes_in_flight() == 2 * kBytes + 100);
+  CHECK(scheduler.bytes_in_flight() == 2 * kBytes + 100);
 }
 
 // A body longer than the limit would otherwise never be sent.
 TEST_CASE_FIXTURE(Fixture, "a single body is granted whatever its length") {
   CHECK(Offer(1, 10 * kBytes) == BodyTransferScheduler::Verdict::kGranted);
   CHECK(Offer(2, 10 * kBytes) == BodyTransferScheduler::Verdict::kQueued);
-  room.OnFinished(RequestTicket(1));
-  CHECK(room.Poll().granted.size() == 1);
+  scheduler.OnFinished(RequestTicket(1));
+  CHECK(scheduler.Poll().granted.size() == 1);
 }
 
 // Otherwise its caller would be refused at its deadline for what was known at
@@ -61,7 +62,7 @@
     CHECK(Offer(number) != BodyTransferScheduler::Verdict::kRefused);
   CHECK(Offer(5, kBytes, milliseconds(50), milliseconds(120)) ==
         BodyTransferScheduler::Verdict::kRefused);
-  CHECK(room.DrainTime() > milliseconds(90));
+  CHECK(scheduler.DrainTime() > milliseconds(90));
 }
 
 // A link that also carries other traffic drains more slowly than its rate
@@ -73,11 +74,11 @@
   CHECK(Offer(3, kBytes, milliseconds(50), milliseconds(200)) ==
         BodyTransferScheduler::Verdict::kQueued);
   clock.Advance(milliseconds(180));
-  const BodyTransferScheduler::Changes changes = room.Poll();
+  const BodyTransferScheduler::Changes changes = scheduler.Poll();
   REQUIRE(changes.refused.size() == 1);
   CHECK(changes.refused[0] == RequestTicket(3));
-  CHECK(room.waiting() == 0);
-  CHECK(room.DrainTime() < milliseconds(60));
+  CHECK(scheduler.waiting() == 0);
+  CHECK(scheduler.DrainTime() < milliseconds(60));
 }
 
 // In order of arrival, a queue that lasts would make every body late.
@@ -87,13 +88,13 @@
   clock.Advance(milliseconds(200));
   Offer(3, kBytes);
   Offer(4, kBytes);
-  room.OnFinished(RequestTicket(1));
-  const BodyTransferScheduler::Changes changes = room.Poll();
+  scheduler.OnFinished(RequestTicket(1));
+  const BodyTransferScheduler::Changes changes = scheduler.Poll();
   REQUIRE(changes.granted.size() == 2);
   CHECK(changes.granted[0] == RequestTicket(3));
   CHECK(changes.granted[1] == RequestTicket(4));
-  room.OnFinished(RequestTicket(3));
-  CHECK(room.Poll().granted.size() == 1);
+  scheduler.OnFinished(RequestTicket(3));
+  CHECK(scheduler.Poll().granted.size() == 1);
 }
 
 // A sender that has gone would otherwise keep its share of the link, or its
@@ -102,11 +103,11 @@
   Offer(1);
   Offer(2);
   Offer(3);
-  room.OnFinished(RequestTicket(3));
-  CHECK(room.waiting() == 0);
-  room.OnFinished(RequestTicket(2));
-  room.OnFinished(RequestTicket(2));
-  CHECK(room.bytes_in_flight() == kBytes);
+  scheduler.OnFinished(RequestTicket(3));
+  CHECK(scheduler.waiting() == 0);
+  scheduler.OnFinished(RequestTicket(2));
+  scheduler.OnFinished(RequestTicket(2));
+  CHECK(scheduler.bytes_in_flight() == kBytes);
   CHECK(Offer(4) == BodyTransferScheduler::Verdict::kGranted);
 }
 
--- a/modules/coordination/load/concurrency_limit.cc
+++ b/modules/coordination/load/concurrency_limit.cc
@@ -184,12 +184,13 @@
   }
 
   void Shrink(double slowdown) {
-    const double cut = std::max(kMinShrinkFactor, kShrinkAbove / slowdown);
-    const auto cut_limit =
-        static_cast<std::size_t>(static_cast<double>(m_limit) * cut);
-    const std::size_t wanted = std::max(cut_limit, MinLimit());
-    if (wanted >= m_parameters.declared_concurrency) {
-      m_limit = wanted;
+    const double shrink_factor =
+        std::max(kMinShrinkFactor, kShrinkAbove / slowdown);
+    const auto shrunk_limit =
+        static_cast<std::size_t>(static_cast<double>(m_limit) * shrink_factor);
+    const std::size_t new_limit = std::max(shrunk_limit, MinLimit());
+    if (new_limit >= m_parameters.declared_concurrency) {
+      m_limit = new_limit;
       return;
     }
     if (m_limit > m_parameters.declared_concurrency ||
@@ -198,7 +199,7 @@
       return;
     }
     m_trial = Trial{m_limit, Throughput(slowdown)};
-    m_limit = wanted;
+    m_limit = new_limit;
   }
 
   // By Little's law, in units of the throughput of one uncongested slot.
--- a/modules/coordination/load/concurrency_limit_test.cc
+++ b/modules/coordination/load/concurrency_limit_test.cc
@@ -15,7 +15,7 @@
 // A target that runs `capacity` requests of 20 ms at once and queues the rest.
 class QueueingTarget {
  public:
-  explicit QueueingTarget(std::size_t places) : m_capacity(places) {}
+  explicit QueueingTarget(std::size_t capacity) : m_capacity(capacity) {}
 
   void SetRunTime(milliseconds run_time) { m_run_time = run_time; }
 
@@ -77,12 +77,12 @@
   QueueingTarget target(kSlots);
   target.Saturate(clock, limit, 20);
   target.SetRunTime(milliseconds(80));
-  std::size_t places = 0;
+  std::size_t limit_sum = 0;
   for (int second = 0; second < 20; ++second) {
     target.Saturate(clock, limit, 1);
-    places += limit.limit();
+    limit_sum += limit.limit();
   }
-  CHECK(places >= 20 * (kSlots - 1));
+  CHECK(limit_sum >= 20 * (kSlots - 1));
 }
 
 TEST_CASE("a target with little load keeps its declared slots") {
--- a/modules/coordination/load/poison_detector.cc
+++ b/modules/coordination/load/poison_detector.cc
@@ -29,33 +29,33 @@
     const std::set<RequestFingerprint> distinct(running.begin(), running.end());
     const std::vector<RequestFingerprint> suspects(distinct.begin(),
                                                    distinct.end());
-    Merge(suspects);
-    for (const RequestFingerprint mark : suspects) {
+    MergePeerReports(suspects);
+    for (const RequestFingerprint fingerprint : suspects) {
       if (m_reports.size() < m_parameters.max_suspects) {
-        m_reports.push_back(mark);
+        m_reports.push_back(fingerprint);
       }
     }
   }
 
-  void Merge(std::span<const RequestFingerprint> reports) {
-    for (const RequestFingerprint mark : reports) {
+  void MergePeerReports(std::span<const RequestFingerprint> reports) {
+    for (const RequestFingerprint fingerprint : reports) {
       RemoveExpired();
-      CountCrash(mark);
+      CountCrash(fingerprint);
     }
   }
 
   // The late end of an earlier run does not clear a quarantined request, since
   // crashes of three later runs are known.
-  void OnEnded(RequestFingerprint mark) {
-    const auto found = m_suspects.find(mark);
+  void OnFinished(RequestFingerprint fingerprint) {
+    const auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end() || IsOverThreshold(found->second)) {
       return;
     }
     Erase(found);
   }
 
-  bool IsQuarantined(RequestFingerprint mark) const {
-    const auto found = m_suspects.find(mark);
+  bool IsQuarantined(RequestFingerprint fingerprint) const {
+    const auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end() || !IsOverThreshold(found->second)) {
       return false;
     }
@@ -83,8 +83,8 @@
                                     : m_unquarantined_index;
   }
 
-  void CountCrash(RequestFingerprint mark) {
-    const auto found = m_suspects.find(mark);
+  void CountCrash(RequestFingerprint fingerprint) {
+    const auto found = m_suspects.find(fingerprint);
     Suspect suspect;
     if (found != m_suspects.end()) {
       suspect = found->second;
@@ -93,8 +93,8 @@
     EvictIfFull();
     ++suspect.crashes;
     suspect.last_crash = m_clock.Now();
-    IndexFor(suspect).emplace(suspect.last_crash, mark);
-    m_suspects.emplace(mark, suspect);
+    IndexFor(suspect).emplace(suspect.last_crash, fingerprint);
+    m_suspects.emplace(fingerprint, suspect);
   }
 
   void EvictIfFull() {
@@ -143,12 +143,12 @@
   m_impl->OnCrash(running);
 }
 
-void PoisonDetector::OnFinished(RequestFingerprint mark) {
-  m_impl->OnEnded(mark);
+void PoisonDetector::OnFinished(RequestFingerprint fingerprint) {
+  m_impl->OnFinished(fingerprint);
 }
 
-bool PoisonDetector::IsQuarantined(RequestFingerprint mark) const {
-  return m_impl->IsQuarantined(mark);
+bool PoisonDetector::IsQuarantined(RequestFingerprint fingerprint) const {
+  return m_impl->IsQuarantined(fingerprint);
 }
 
 std::vector<RequestFingerprint> PoisonDetector::TakeReports() {
@@ -157,7 +157,7 @@
 
 void PoisonDetector::MergePeerReports(
     std::span<const RequestFingerprint> reports) {
-  m_impl->Merge(reports);
+  m_impl->MergePeerReports(reports);
 }
 
 std::size_t PoisonDetector::suspect_count() const {
--- a/modules/coordination/load/poison_detector.h
+++ b/modules/coordination/load/poison_detector.h
@@ -52,9 +52,9 @@
   void OnCrash(std::span<const RequestFingerprint> running);
 
   // A run of the request ended without a crash.
-  void OnFinished(RequestFingerprint mark);
+  void OnFinished(RequestFingerprint fingerprint);
 
-  bool IsQuarantined(RequestFingerprint mark) const;
+  bool IsQuarantined(RequestFingerprint fingerprint) const;
 
   // Removes and returns the reports for the peers. Each entry stands for one
   // crash seen here in which the request was a suspect.
--- a/modules/coordination/load/request_queue.cc
+++ b/modules/coordination/load/request_queue.cc
@@ -43,8 +43,8 @@
   double key_finish_tag = 0;
 };
 
-double CostOf(const RequestMetadata& facts) {
-  return std::max(1.0, static_cast<double>(facts.bytes) / kBytesPerCostUnit);
+double CostOf(const RequestMetadata& request) {
+  return std::max(1.0, static_cast<double>(request.bytes) / kBytesPerCostUnit);
 }
 
 // An ordered map that also gives the rank of a position in logarithmic time.
@@ -102,8 +102,8 @@
  private:
   // Flows without queued requests are kept only for their tags. Callers that
   // come once each would otherwise grow the table without bound while the queue
-  // stays busy. Removing such a caller puts its next request at most one place
-  // too early.
+  // stays busy. Removing such a caller puts its next request at most one
+  // position too early.
   void RemoveIdleAtBound() {
     if (m_flows.size() < m_bound) {
       return;
@@ -126,28 +126,28 @@
         m_callers(2 * parameters.max_count + 1),
         m_keys(2 * parameters.max_count + 1) {}
 
-  std::size_t RankOf(const RequestMetadata& facts) const {
-    return m_entries.order_of_key(PositionOf(facts));
+  std::size_t RankOf(const RequestMetadata& request) const {
+    return m_entries.order_of_key(PositionOf(request));
   }
 
-  bool IsOverShare(const RequestMetadata& facts) const {
+  bool IsOverFairShare(const RequestMetadata& request) const {
     if (m_callers.active() == 0) {
       return false;
     }
     const double mean = static_cast<double>(m_entries.size()) /
                         static_cast<double>(m_callers.active());
-    const double most = kOverShareFactor * mean + 1;
-    return m_callers.Waiting(facts.caller) > most ||
-           m_keys.Waiting(facts.key) > m_parameters.key_weight * most;
+    const double max_waiting = kOverShareFactor * mean + 1;
+    return m_callers.Waiting(request.caller) > max_waiting ||
+           m_keys.Waiting(request.key) > m_parameters.key_weight * max_waiting;
   }
 
-  PushResult Push(const RequestMetadata& facts, Clock::TimePoint now) {
+  PushResult Push(const RequestMetadata& request, Clock::TimePoint now) {
     PushResult result;
-    const QueuePosition place = PositionOf(facts);
-    if (!MakeRoom(facts, place, result)) {
+    const QueuePosition position = PositionOf(request);
+    if (!MakeRoom(request, position, result)) {
       return result;
     }
-    Insert(facts, place, now);
+    Insert(request, position, now);
     result.accepted = true;
     return result;
   }
@@ -173,25 +173,25 @@
     return true;
   }
 
-  std::vector<RequestMetadata> TakeHopeless(Clock::TimePoint first_end,
-                                            Clock::Duration per_rank) {
-    std::vector<QueuePosition> hopeless;
+  std::vector<RequestMetadata> TakeUnmeetable(Clock::TimePoint first_end,
+                                              Clock::Duration per_rank) {
+    std::vector<QueuePosition> unmeetable;
     Clock::TimePoint end = first_end;
-    for (const auto& [place, item] : m_entries) {
-      if (end > item.waiting.facts.deadline) {
-        hopeless.push_back(place);
+    for (const auto& [position, entry] : m_entries) {
+      if (end > entry.waiting.request.deadline) {
+        unmeetable.push_back(position);
       } else {
         end += per_rank;
       }
     }
-    return TakeFromBack(hopeless);
+    return TakeFromBack(unmeetable);
   }
 
   std::vector<RequestMetadata> TakeAll() {
     std::vector<QueuePosition> all;
     all.reserve(m_entries.size());
-    for (const auto& [place, item] : m_entries) {
-      all.push_back(place);
+    for (const auto& [position, entry] : m_entries) {
+      all.push_back(position);
     }
     return TakeFromBack(all);
   }
@@ -200,28 +200,28 @@
   std::size_t bytes() const { return m_bytes; }
 
  private:
-  double StartTagOf(const RequestMetadata& facts) const {
-    return std::max({m_virtual_time, m_callers.NextStartTag(facts.caller),
-                     m_keys.NextStartTag(facts.key)});
+  double StartTagOf(const RequestMetadata& request) const {
+    return std::max({m_virtual_time, m_callers.NextStartTag(request.caller),
+                     m_keys.NextStartTag(request.key)});
   }
 
-  QueuePosition PositionOf(const RequestMetadata& facts) const {
-    return {StartTagOf(facts) + CostOf(facts), m_next_arrival};
+  QueuePosition PositionOf(const RequestMetadata& request) const {
+    return {StartTagOf(request) + CostOf(request), m_next_arrival};
   }
 
   // Evicts from the back of the queue while the new request goes before the
   // last one.
-  bool MakeRoom(const RequestMetadata& facts,
-                QueuePosition place,
+  bool MakeRoom(const RequestMetadata& request,
+                QueuePosition position,
                 PushResult& result) {
-    if (facts.bytes > m_parameters.max_bytes || m_parameters.max_count == 0) {
-      result.limited_by_bytes = facts.bytes > m_parameters.max_bytes;
+    if (request.bytes > m_parameters.max_bytes || m_parameters.max_count == 0) {
+      result.limited_by_bytes = request.bytes > m_parameters.max_bytes;
       return false;
     }
-    if (!CanMakeRoom(facts, place, result.limited_by_bytes)) {
+    if (!CanMakeRoom(request, position, result.limited_by_bytes)) {
       return false;
     }
-    while (!Fits(facts, m_entries.size(), m_bytes)) {
+    while (!Fits(request, m_entries.size(), m_bytes)) {
       const QueuePosition last = std::prev(m_entries.end())->first;
       result.evicted.push_back(Take(last));
     }
@@ -230,83 +230,87 @@
 
   // Checked before anything is evicted: evicting a request and then refusing
   // the new one as well would lose two requests for nothing.
-  bool CanMakeRoom(const RequestMetadata& facts,
-                   QueuePosition place,
-                   bool& by_bytes) {
+  bool CanMakeRoom(const RequestMetadata& request,
+                   QueuePosition position,
+                   bool& limited_by_bytes) {
     std::size_t count = m_entries.size();
     std::size_t bytes = m_bytes;
     auto next = m_entries.end();
-    while (!Fits(facts, count, bytes)) {
-      by_bytes = count < m_parameters.max_count;
+    while (!Fits(request, count, bytes)) {
+      limited_by_bytes = count < m_parameters.max_count;
       --next;
-      if (next->first < place) {
+      if (next->first < position) {
         return false;
       }
       --count;
-      bytes -= next->second.waiting.facts.bytes;
+      bytes -= next->second.waiting.request.bytes;
     }
     return true;
   }
 
-  bool Fits(const RequestMetadata& facts,
+  bool Fits(const RequestMetadata& request,
             std::size_t count,
             std::size_t bytes) const {
     return count < m_parameters.max_count &&
-           bytes + facts.bytes <= m_parameters.max_bytes;
+           bytes + request.bytes <= m_parameters.max_bytes;
   }
 
-  void Insert(const RequestMetadata& facts,
-              QueuePosition place,
+  void Insert(const RequestMetadata& request,
+              QueuePosition position,
               Clock::TimePoint now) {
-    const double steps = CostOf(facts);
-    QueueEntry item;
-    item.waiting = {facts, now};
-    item.start_tag = place.finish_tag - steps;
-    item.key_finish_tag = item.start_tag + steps / m_parameters.key_weight;
-    m_callers.Add(facts.caller, place.finish_tag);
-    m_keys.Add(facts.key, item.key_finish_tag);
-    m_entries.insert({place, item});
-    const bool is_new = m_positions.emplace(facts.ticket, place).second;
+    const double cost = CostOf(request);
+    QueueEntry entry;
+    entry.waiting = {request, now};
+    entry.start_tag = position.finish_tag - cost;
+    entry.key_finish_tag = entry.start_tag + cost / m_parameters.key_weight;
+    m_callers.Add(request.caller, position.finish_tag);
+    m_keys.Add(request.key, entry.key_finish_tag);
+    m_entries.insert({position, entry});
+    const bool is_new = m_positions.emplace(request.ticket, position).second;
     // A ticket must not be reused while its request waits.
     assert(is_new);
     static_cast<void>(is_new);
-    m_bytes += facts.bytes;
+    m_bytes += request.bytes;
     ++m_next_arrival;
   }
 
   // Removes the last position first, since a flow's tags are refunded from its
   // end.
   std::vector<RequestMetadata> TakeFromBack(
-      const std::vector<QueuePosition>& places) {
+      const std::vector<QueuePosition>& positions) {
     std::vector<RequestMetadata> taken;
-    taken.reserve(places.size());
-    for (auto place = places.rbegin(); place != places.rend(); ++place) {
-      taken.push_back(Take(*place));
+    taken.reserve(positions.size());
+    for (auto position = positions.rbegin(); position != positions.rend();
+         ++position) {
+      taken.push_back(Take(*position));
     }
     return taken;
   }
 
-  RequestMetadata Take(QueuePosition place) {
-    const RequestMetadata facts = m_entries.find(place)->second.waiting.facts;
-    Refund(place);
-    Erase(place);
-    return facts;
+  RequestMetadata Take(QueuePosition position) {
+    const RequestMetadata request =
+        m_entries.find(position)->second.waiting.request;
+    Refund(position);
+    Erase(position);
+    return request;
   }
 
-  void Refund(QueuePosition place) {
-    const QueueEntry& item = m_entries.find(place)->second;
-    m_callers.Refund(item.waiting.facts.caller, item.start_tag,
-                     place.finish_tag);
-    m_keys.Refund(item.waiting.facts.key, item.start_tag, item.key_finish_tag);
+  void Refund(QueuePosition position) {
+    const QueueEntry& entry = m_entries.find(position)->second;
+    m_callers.Refund(entry.waiting.request.caller, entry.start_tag,
+                     position.finish_tag);
+    m_keys.Refund(entry.waiting.request.key, entry.start_tag,
+                  entry.key_finish_tag);
   }
 
-  void Erase(QueuePosition place) {
-    const RequestMetadata facts = m_entries.find(place)->second.waiting.facts;
-    m_callers.Remove(facts.caller);
-    m_keys.Remove(facts.key);
-    m_positions.erase(facts.ticket);
-    m_bytes -= facts.bytes;
-    m_entries.erase(place);
+  void Erase(QueuePosition position) {
+    const RequestMetadata request =
+        m_entries.find(position)->second.waiting.request;
+    m_callers.Remove(request.caller);
+    m_keys.Remove(request.key);
+    m_positions.erase(request.ticket);
+    m_bytes -= request.bytes;
+    m_entries.erase(position);
     if (m_entries.empty()) {
       ResetTags();
     }
@@ -335,21 +339,21 @@
 
 RequestQueue::~RequestQueue() = default;
 
-std::size_t RequestQueue::RankOf(const RequestMetadata& facts) const {
-  return m_impl->RankOf(facts);
+std::size_t RequestQueue::RankOf(const RequestMetadata& request) const {
+  return m_impl->RankOf(request);
 }
 
-RequestQueue::PushResult RequestQueue::Push(const RequestMetadata& facts,
+RequestQueue::PushResult RequestQueue::Push(const RequestMetadata& request,
                                             Clock::TimePoint now) {
-  return m_impl->Push(facts, now);
+  return m_impl->Push(request, now);
 }
 
 std::optional<RequestQueue::QueuedRequest> RequestQueue::Pop() {
   return m_impl->Pop();
 }
 
-bool RequestQueue::IsOverFairShare(const RequestMetadata& facts) const {
-  return m_impl->IsOverShare(facts);
+bool RequestQueue::IsOverFairShare(const RequestMetadata& request) const {
+  return m_impl->IsOverFairShare(request);
 }
 
 bool RequestQueue::Cancel(RequestTicket ticket) {
@@ -359,7 +363,7 @@
 std::vector<RequestMetadata> RequestQueue::TakeUnmeetable(
     Clock::TimePoint first_end,
     Clock::Duration per_rank) {
-  return m_impl->TakeHopeless(first_end, per_rank);
+  return m_impl->TakeUnmeetable(first_end, per_rank);
 }
 
 std::vector<RequestMetadata> RequestQueue::TakeAll() {
--- a/modules/coordination/load/request_queue.h
+++ b/modules/coordination/load/request_queue.h
@@ -59,17 +59,17 @@
   RequestQueue& operator=(const RequestQueue&) = delete;
 
   // Number of queued requests that would be served before this one.
-  std::size_t RankOf(const RequestMetadata& facts) const;
+  std::size_t RankOf(const RequestMetadata& request) const;
 
-  // Whether the caller or the key has more than twice its mean share of the
-  // queued requests. Never true while at most two callers have requests queued,
-  // since one of them easily has most of a short queue.
-  bool IsOverFairShare(const RequestMetadata& facts) const;
+  // Whether the caller has more than twice the mean number of queued requests,
+  // or the key `key_weight` times as many. Never true while at most two callers
+  // have requests queued, since one of them easily has most of a short queue.
+  bool IsOverFairShare(const RequestMetadata& request) const;
 
-  PushResult Push(const RequestMetadata& facts, Clock::TimePoint now);
+  PushResult Push(const RequestMetadata& request, Clock::TimePoint now);
 
   struct QueuedRequest {
-    RequestMetadata facts;
+    RequestMetadata request;
     Clock::TimePoint enqueued_at;
 
     friend auto operator<=>(const QueuedRequest&,
--- a/modules/coordination/load/request_queue_test.cc
+++ b/modules/coordination/load/request_queue_test.cc
@@ -14,13 +14,13 @@
                         std::uint64_t caller,
                         std::uint64_t key,
                         std::size_t bytes = 100) {
-  RequestMetadata facts;
-  facts.ticket = RequestTicket(ticket);
-  facts.caller = CallerHash(caller);
-  facts.key = KeyHash(key);
-  facts.bytes = bytes;
-  facts.deadline = kNow + std::chrono::seconds(10);
-  return facts;
+  RequestMetadata request;
+  request.ticket = RequestTicket(ticket);
+  request.caller = CallerHash(caller);
+  request.key = KeyHash(key);
+  request.bytes = bytes;
+  request.deadline = kNow + std::chrono::seconds(10);
+  return request;
 }
 
 RequestQueue::Parameters Bounds(std::size_t count, std::size_t bytes) {
@@ -44,7 +44,7 @@
   }
   int of_second = 0;
   for (int i = 0; i < 6; ++i) {
-    of_second += queue.Pop()->facts.caller == CallerHash(2) ? 1 : 0;
+    of_second += queue.Pop()->request.caller == CallerHash(2) ? 1 : 0;
   }
   CHECK(of_second == 3);
 }
@@ -60,7 +60,7 @@
   queue.Push(Request(200, 900, 8), kNow);
   CHECK(queue.RankOf(Request(201, 901, 9)) <= 10);
   std::size_t before = 0;
-  while (queue.Pop()->facts.key != KeyHash(8)) {
+  while (queue.Pop()->request.key != KeyHash(8)) {
     ++before;
   }
   CHECK(before <= 9);
@@ -76,7 +76,7 @@
   for (std::uint64_t newcomer = 3; newcomer < 1000; ++newcomer) {
     queue.Push(Request(newcomer, newcomer, newcomer), kNow);
     ++pops;
-    if (queue.Pop()->facts.ticket == RequestTicket(2)) {
+    if (queue.Pop()->request.ticket == RequestTicket(2)) {
       break;
     }
   }
@@ -115,14 +115,14 @@
 TEST_CASE("requests that can't end in time don't delay later ones") {
   RequestQueue queue(RequestQueue::Parameters{});
   for (std::uint64_t i = 0; i < 4; ++i) {
-    RequestMetadata facts = Request(i, i, i);
-    facts.deadline = kNow + std::chrono::milliseconds(i == 1 ? 10 : 350);
-    queue.Push(facts, kNow);
+    RequestMetadata request = Request(i, i, i);
+    request.deadline = kNow + std::chrono::milliseconds(i == 1 ? 10 : 350);
+    queue.Push(request, kNow);
   }
-  const auto hopeless = queue.TakeUnmeetable(
+  const auto unmeetable = queue.TakeUnmeetable(
       kNow + std::chrono::milliseconds(100), std::chrono::milliseconds(100));
-  REQUIRE(hopeless.size() == 1);
-  CHECK(hopeless[0].ticket == RequestTicket(1));
+  REQUIRE(unmeetable.size() == 1);
+  CHECK(unmeetable[0].ticket == RequestTicket(1));
 }
 
 TEST_CASE("a cancelled request is removed and costs its caller nothing") {
--- a/modules/coordination/load/retry_after_pacer_test.cc
+++ b/modules/coordination/load/retry_after_pacer_test.cc
@@ -33,9 +33,9 @@
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
   std::map<std::int64_t, int> returns_by_second;
   for (int caller = 0; caller < 20'000; ++caller) {
-    const milliseconds pause = pacer.NextRetryAfter(100, milliseconds(0));
-    CHECK(pause <= milliseconds(20'001));
-    ++returns_by_second[pause / std::chrono::seconds(1)];
+    const milliseconds retry_after = pacer.NextRetryAfter(100, milliseconds(0));
+    CHECK(retry_after <= milliseconds(20'001));
+    ++returns_by_second[retry_after / std::chrono::seconds(1)];
   }
   CHECK(returns_by_second[15] < 3000);
 }
--- a/modules/coordination/load/retry_backoff_test.cc
+++ b/modules/coordination/load/retry_backoff_test.cc
@@ -14,21 +14,21 @@
 TEST_CASE("requests that failed together don't retry together") {
   std::mt19937_64 random(1);
   RetryBackoff backoff(random, {milliseconds(10), milliseconds(1000)});
-  std::set<milliseconds> pauses;
+  std::set<milliseconds> delays;
   for (int request = 0; request < 1000; ++request) {
-    pauses.insert(backoff.Delay(6, milliseconds(0)));
+    delays.insert(backoff.Delay(6, milliseconds(0)));
   }
-  CHECK(pauses.size() > 300);
-  CHECK(*pauses.rbegin() <= milliseconds(640));
+  CHECK(delays.size() > 300);
+  CHECK(*delays.rbegin() <= milliseconds(640));
 }
 
 TEST_CASE("delays stay between retry_after and the longest backoff above it") {
   std::mt19937_64 random(1);
   RetryBackoff backoff(random, {milliseconds(10), milliseconds(1000)});
   for (unsigned retry = 0; retry < 100; ++retry) {
-    const milliseconds pause = backoff.Delay(retry, milliseconds(250));
-    CHECK(pause >= milliseconds(250));
-    CHECK(pause <= milliseconds(1250));
+    const milliseconds delay = backoff.Delay(retry, milliseconds(250));
+    CHECK(delay >= milliseconds(250));
+    CHECK(delay <= milliseconds(1250));
   }
 }
 
