--- a/modules/coordination/load/admission_changes.h
+++ b/modules/coordination/load/admission_changes.h
@@ -14,8 +14,8 @@
   // Queued requests that are refused; answer their callers now.
   std::vector<RefusedRequest> refused;
   // Running requests whose deadline has passed; cancel them at the target. Each
-  // keeps its slot until OnFinished(), because the target may continue to run
-  // it.
+  // counts against the limit until OnFinished(), because the target may
+  // continue to run it.
   std::vector<RequestTicket> overdue;
 
   friend auto operator<=>(const AdmissionChanges&,
--- a/modules/coordination/load/admission_controller.cc
+++ b/modules/coordination/load/admission_controller.cc
@@ -234,8 +234,8 @@
   }
 
   // Square-root staffing: reserves the mean demand of short work plus its
-  // square root, so that short work rarely finds the slots that it needs taken
-  // by long work.
+  // square root, so that short work rarely finds the capacity that it needs
+  // taken by long work.
   std::size_t MaxLongConcurrency() const {
     const double demand = m_short_demand.average();
     if (demand < kNegligibleDemand) {
@@ -342,8 +342,8 @@
     return {AdmissionDecision::Verdict::kQueued, std::nullopt};
   }
 
-  // The number of requests of the class that run at once when all slots are in
-  // use.
+  // The number of requests of the class that run at once when the limit is
+  // fully used.
   std::size_t ConcurrencyOf(WorkClass work_class) const {
     if (work_class == WorkClass::kLong) {
       return std::max(MaxLongConcurrency(), MinLongConcurrency());
--- a/modules/coordination/load/admission_controller_test.cc
+++ b/modules/coordination/load/admission_controller_test.cc
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using Verdict = AdmissionDecision::Verdict;
 
-// A controller for a target with four slots, with helpers to offer and finish
-// requests.
+// A controller for a target that runs four requests at once, with helpers to
+// offer and finish requests.
 class Fixture {
  public:
   Fixture() : Fixture(Declared()) {}
@@ -53,8 +53,8 @@
                            latency);
   }
 
-  void FillSlots() {
-    for (int slot = 0; slot < 4; ++slot) {
+  void FillTarget() {
+    for (int run = 0; run < 4; ++run) {
       REQUIRE(Offer(milliseconds(60'000)).verdict == Verdict::kAdmitted);
     }
   }
@@ -72,13 +72,13 @@
 
 }  // namespace
 
-// All slots are busy and the queue is longer than the caller's deadline allows.
-// If the refusal came only at the deadline, the caller would have no time left
-// to retry elsewhere.
+// The target is fully used and the queue is longer than the caller's deadline
+// allows. If the refusal came only at the deadline, the caller would have no
+// time left to retry elsewhere.
 TEST_CASE("a request that can't finish in time is refused at once") {
   Fixture fixture;
   fixture.Measure(milliseconds(100));
-  fixture.FillSlots();
+  fixture.FillTarget();
   for (int i = 0; i < 20; ++i) {
     fixture.Offer(milliseconds(60'000));
   }
@@ -94,7 +94,7 @@
 TEST_CASE("a freeze refuses queued requests well before their deadline") {
   Fixture fixture;
   fixture.Measure(milliseconds(20));
-  fixture.FillSlots();
+  fixture.FillTarget();
   REQUIRE(fixture.Offer(milliseconds(2000)).verdict == Verdict::kQueued);
   milliseconds waited{0};
   std::vector<RefusedRequest> refused;
@@ -115,12 +115,12 @@
 TEST_CASE("requests that arrive after a freeze are not refused for it") {
   Fixture fixture;
   fixture.Measure(milliseconds(20));
-  fixture.FillSlots();
+  fixture.FillTarget();
   fixture.clock().Advance(milliseconds(10'000));
   for (std::uint64_t ticket = 2; ticket <= 5; ++ticket) {
     fixture.Finish(ticket, milliseconds(10'000));
   }
-  fixture.FillSlots();
+  fixture.FillTarget();
   CHECK(fixture.Offer(milliseconds(500)).verdict == Verdict::kQueued);
 }
 
@@ -144,13 +144,13 @@
   for (int run = 0; run < 40; ++run) {
     fixture.Measure(milliseconds(300));
   }
-  fixture.FillSlots();
+  fixture.FillTarget();
   CHECK(fixture.Offer(milliseconds(250)).verdict == Verdict::kRefused);
 }
 
-TEST_CASE("long work leaves slots to short work, and short work to long work") {
+TEST_CASE("long work leaves capacity to short work, and vice versa") {
   Fixture fixture;
-  fixture.FillSlots();
+  fixture.FillTarget();
   fixture.clock().Advance(milliseconds(5000));
   for (std::uint64_t ticket = 1; ticket <= 4; ++ticket) {
     fixture.Finish(ticket, milliseconds(20));
@@ -170,7 +170,7 @@
   AdmissionController::Parameters parameters = Fixture::Declared();
   parameters.burst_duration = std::chrono::seconds(0);
   Fixture fixture(parameters);
-  fixture.FillSlots();
+  fixture.FillTarget();
   AdmissionDecision decision;
   int queued = 0;
   while ((decision = fixture.Offer(milliseconds(60'000))).verdict ==
@@ -179,14 +179,14 @@
     REQUIRE(queued < 1000);
   }
   CHECK(decision.refusal->reason == RefusalReason::kOverloaded);
-  // Four slots and runs of 20 ms: one starts every 5 ms.
+  // Four runs of 20 ms at once: one starts every 5 ms.
   CHECK(queued == parameters.max_wait_without_credit / milliseconds(5));
 }
 
 TEST_CASE("cancelling removes a queued request and reports a running one") {
   using Result = AdmissionController::CancelResult;
   Fixture fixture;
-  fixture.FillSlots();
+  fixture.FillTarget();
   REQUIRE(fixture.Offer(milliseconds(1000)).verdict == Verdict::kQueued);
   CHECK(fixture.admission().Cancel(RequestTicket(5)) ==
         Result::kRemovedFromQueue);
@@ -195,9 +195,10 @@
   CHECK(fixture.admission().Status().running == 4);
 }
 
-// A run passes its deadline. If its slot were freed before the target reports
-// its end, the target would run more requests than its limit.
-TEST_CASE("an overdue run is reported once and keeps its slot") {
+// A run passes its deadline. If it stopped counting against the limit before
+// the target reports its end, the target would run more requests than the
+// limit.
+TEST_CASE("an overdue run is reported once and counts against the limit") {
   Fixture fixture;
   REQUIRE(fixture.Offer(milliseconds(100)).verdict == Verdict::kAdmitted);
   fixture.clock().Advance(milliseconds(120));
@@ -210,7 +211,7 @@
 
 TEST_CASE("a leaving target refuses queued requests and keeps running ones") {
   Fixture fixture;
-  fixture.FillSlots();
+  fixture.FillTarget();
   fixture.Offer(milliseconds(1000));
   fixture.admission().StopAdmitting();
   const AdmissionChanges changes = fixture.admission().Poll();
--- a/modules/coordination/load/burst_credit.cc
+++ b/modules/coordination/load/burst_credit.cc
@@ -20,12 +20,12 @@
   m_idle_share = idle_share;
 }
 
-bool BurstCredit::TrySpend(double slot_seconds) {
+bool BurstCredit::TrySpend(double run_seconds) {
   Refill();
-  if (m_available < slot_seconds) {
+  if (m_available < run_seconds) {
     return false;
   }
-  m_available -= slot_seconds;
+  m_available -= run_seconds;
   return true;
 }
 
--- a/modules/coordination/load/burst_credit.h
+++ b/modules/coordination/load/burst_credit.h
@@ -14,7 +14,7 @@
 // audience, and a long one makes every answer of hours of overload come at its
 // deadline.
 //
-// The credit is counted in slot-seconds of one target. It is earned at
+// The credit is counted in seconds of run time at the target. It is earned at
 // `refill_per_second` times the idle share of the target, so that a target
 // which is always full earns none, and spent by each request that waits longer
 // than the bound for steady overload. It starts full, since a new node may meet
@@ -36,9 +36,9 @@
   // credit earned until now is computed with the previous share.
   void SetIdleShare(double idle_share);
 
-  // Spends `slot_seconds`. Returns false and spends nothing if less is
+  // Spends `run_seconds`. Returns false and spends nothing if less is
   // available.
-  bool TrySpend(double slot_seconds);
+  bool TrySpend(double run_seconds);
 
   double available() const { return m_available; }
 
--- a/modules/coordination/load/concurrency_limit.cc
+++ b/modules/coordination/load/concurrency_limit.cc
@@ -24,14 +24,15 @@
 // (such as a pause of the machine) does not undo minutes of growth.
 constexpr double kMinShrinkFactor = 0.8;
 
-// A cut below the declared slots stands only if this share of the throughput
-// remains; the mean of a window of about 60 runs is accurate to within 5%.
+// A cut below the declared concurrency stands only if this share of the
+// throughput remains; the mean of a window of about 60 runs is accurate to
+// within 5%.
 constexpr double kMinTrialThroughputShare = 0.9;
 
 constexpr std::chrono::seconds kTrialRetryDelay(30);
 
-// A cut below the declared slots that is being evaluated, with the limit and
-// the throughput before it.
+// A cut below the declared concurrency that is being evaluated, with the limit
+// and the throughput before it.
 struct Trial {
   std::size_t limit = 0;
   double throughput = 0;
@@ -102,9 +103,9 @@
   std::size_t limit() const { return m_limit; }
 
  private:
-  // Below half of the slots many targets answer faster than they can under load
-  // (caches, CPU turbo). A baseline learned there would shrink the limit of a
-  // healthy target.
+  // Below half of the declared concurrency many targets answer faster than they
+  // can under load (caches, CPU turbo). A baseline learned there would shrink
+  // the limit of a healthy target.
   bool IsUncongested(std::size_t running) const {
     return running <= m_parameters.declared_concurrency &&
            2 * running >= m_parameters.declared_concurrency;
@@ -202,7 +203,8 @@
     m_limit = new_limit;
   }
 
-  // By Little's law, in units of the throughput of one uncongested slot.
+  // By Little's law, in units of the throughput of one uncongested run at a
+  // time.
   double Throughput(double slowdown) const {
     return static_cast<double>(m_limit) / slowdown;
   }
--- a/modules/coordination/load/concurrency_limit.h
+++ b/modules/coordination/load/concurrency_limit.h
@@ -18,22 +18,22 @@
 // spends its time on answers whose callers have left. A limit that trusts the
 // declaration alone leaves capacity idle or keeps that queue.
 //
-// The limit starts at the declared slots. Each window compares the mean latency
-// with the best recent one, for each work class by itself, since uploads take
-// longer than lookups. If the ratio of the two is below kGrowBelow, the limit
-// grows by one; above kShrinkAbove it shrinks in proportion; above
-// kDropExtraAbove it shrinks by one if it exceeds the declared slots. Slots
-// that only lengthen the target's own queue make short work wait behind long
-// work: with growth up to a ratio of 1.1 the p99 of short work mixed with long
-// was 70 ms, with 1.03 it is 58 ms. The limit doesn't change while it isn't
-// fully used.
+// The limit starts at the declared concurrency. Each window compares the mean
+// latency with the best recent one, for each work class by itself, since
+// uploads take longer than lookups. If the ratio of the two is below
+// kGrowBelow, the limit grows by one; above kShrinkAbove it shrinks in
+// proportion; above kDropExtraAbove it shrinks by one if it exceeds the
+// declared concurrency. A limit that only lengthens the target's own queue
+// makes short work wait behind long work: with growth up to a ratio of 1.1 the
+// p99 of short work mixed with long was 70 ms, with 1.03 it is 58 ms. The limit
+// doesn't change while it isn't fully used.
 //
-// The best latency is learned only while at most the declared slots run;
-// learned from a saturated target it would rise with the target's queue, and
-// the limit with it. A cut below the declared slots is a trial. It is reverted
-// if the throughput of the next window is lower, as happens when the latency
-// has causes other than concurrency (such as a slow store). The limit never
-// falls below half of the declared slots. Thresholds:
+// The best latency is learned only while at most the declared concurrency is
+// used; learned from a saturated target it would rise with the target's queue,
+// and the limit with it. A cut below the declared concurrency is a trial. It is
+// reverted if the throughput of the next window is lower, as happens when the
+// latency has causes other than concurrency (such as a slow store). The limit
+// never falls below half of the declared concurrency. Thresholds:
 // docs/design/load-decisions.md, "Concurrency limit".
 //
 // Thread-confined. AdmissionController counts the running requests.
@@ -67,8 +67,8 @@
                   Clock::Duration latency,
                   std::size_t running);
 
-  // At least 1, at most the declared connections (or the declared slots, if
-  // these are more).
+  // At least 1, at most the declared connections (or the declared concurrency,
+  // if that is more).
   std::size_t limit() const;
 
  private:
--- a/modules/coordination/load/concurrency_limit_test.cc
+++ b/modules/coordination/load/concurrency_limit_test.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kSlots = 12;
+constexpr std::size_t kDeclaredConcurrency = 12;
 
 // A target that runs `capacity` requests of 20 ms at once and queues the rest.
 class QueueingTarget {
@@ -40,7 +40,7 @@
 
 ConcurrencyLimit::Parameters Declared() {
   ConcurrencyLimit::Parameters parameters;
-  parameters.declared_concurrency = kSlots;
+  parameters.declared_concurrency = kDeclaredConcurrency;
   parameters.declared_connections = 40;
   return parameters;
 }
@@ -56,15 +56,15 @@
   CHECK(limit.limit() <= 34);
 }
 
-// The target declares twelve slots and has ten. Latency rises with each further
-// request; if the limit followed the target's own queue upwards, minute after
-// minute, callers would see every answer late.
+// The target declares a concurrency of twelve and has ten. Latency rises with
+// each further request; if the limit followed the target's own queue upwards,
+// minute after minute, callers would see every answer late.
 TEST_CASE("long saturation doesn't raise the limit of a full target") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   QueueingTarget target(10);
   target.Saturate(clock, limit, 1800);
-  CHECK(limit.limit() <= kSlots);
+  CHECK(limit.limit() <= kDeclaredConcurrency);
 }
 
 // A store behind the target slows every run down fourfold. A lower limit does
@@ -74,7 +74,7 @@
 TEST_CASE("a slowdown not caused by the target's queue keeps the limit") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
-  QueueingTarget target(kSlots);
+  QueueingTarget target(kDeclaredConcurrency);
   target.Saturate(clock, limit, 20);
   target.SetRunTime(milliseconds(80));
   std::size_t limit_sum = 0;
@@ -82,17 +82,17 @@
     target.Saturate(clock, limit, 1);
     limit_sum += limit.limit();
   }
-  CHECK(limit_sum >= 20 * (kSlots - 1));
+  CHECK(limit_sum >= 20 * (kDeclaredConcurrency - 1));
 }
 
-TEST_CASE("a target with little load keeps its declared slots") {
+TEST_CASE("a target with little load keeps its declared concurrency") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   for (int run = 0; run < 1000; ++run) {
     clock.Advance(milliseconds(20));
     limit.OnFinished(WorkClass::kShort, milliseconds(run % 7 * 10), 1);
   }
-  CHECK(limit.limit() == kSlots);
+  CHECK(limit.limit() == kDeclaredConcurrency);
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/key_load.h
+++ b/modules/coordination/load/key_load.h
@@ -6,7 +6,8 @@
 
 namespace citrongrade {
 
-// Work that one key causes, in busy target slots (seconds of work per second).
+// Work that one key causes, as the mean number of its requests that run at once
+// (seconds of work per second).
 struct KeyLoad {
   KeyHash key;
   double load = 0;
--- a/modules/coordination/load/member_load.h
+++ b/modules/coordination/load/member_load.h
@@ -6,8 +6,8 @@
 
 namespace citrongrade {
 
-// The load of one member for a service and its capacity, both in busy target
-// slots.
+// The load of one member for a service and its capacity, both as the number of
+// requests that run at once.
 struct MemberLoad {
   MemberId member;
   double load = 0;
