--- a/modules/coordination/load/admission_controller.cc
+++ b/modules/coordination/load/admission_controller.cc
@@ -21,17 +21,18 @@
 
 namespace acc = boost::accumulators;
 
-// Part of the limit that either class of work always has.
+// Each work class is guaranteed the limit divided by this.
 constexpr std::size_t kGuaranteedLimitDivisor = 4;
 
-// How fast the memory of short work's demand fades.
+// Time constant of the moving average of short work's demand.
 constexpr std::chrono::duration<double> kDemandTimeConstant(2.0);
 
-// Below this, short work counts as absent and long work may take everything.
+// Below this demand short work counts as absent, and long work may use the
+// whole limit.
 constexpr double kNegligibleDemand = 0.05;
 
-// Long work may wait for this many of its own run times: by the standing wait
-// of short work alone, no upload could ever wait for the one before it.
+// Long work may wait for this many of its own mean run times. With the bound
+// for short work alone, an upload could never wait for the one before it.
 constexpr int kMaxLongWaitInRuns = 2;
 
 std::size_t IndexOf(WorkClass work_class) {
@@ -42,19 +43,20 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// Without progress for this many of the longest run expected, a target is
-// frozen; one that is merely ten times slower goes on ending runs.
+// A target that finishes nothing for this many times the longest expected run
+// time counts as frozen. A target that is merely ten times slower still
+// finishes runs within that time.
 constexpr int kStallThresholdInRuns = 10;
 
 constexpr int kMaxSampleFactorAfterStall = 2;
 
-// Mean of how much short work runs or waits, fading over kDemandMemory.
+// Exponential moving average of the number of short requests that run or wait.
 class DemandAverage {
  public:
   explicit DemandAverage(const Clock& clock)
       : m_clock(clock), m_updated(clock.Now()) {}
 
-  // `demand` holds from now on; the one before it held until now.
+  // `demand` applies from now on; the previous value applied until now.
   void Set(std::size_t demand) {
     m_average = average();
     m_updated = m_clock.Now();
@@ -62,9 +64,9 @@
   }
 
   double average() const {
-    const std::chrono::duration<double> held = m_clock.Now() - m_updated;
-    const double kept = std::exp(-held / kDemandTimeConstant);
-    return m_demand + (m_average - m_demand) * kept;
+    const std::chrono::duration<double> elapsed = m_clock.Now() - m_updated;
+    const double decay = std::exp(-elapsed / kDemandTimeConstant);
+    return m_demand + (m_average - m_demand) * decay;
   }
 
  private:
@@ -129,14 +131,14 @@
     UpdateLoad();
   }
 
-  AdmissionDecision Offer(const RequestMetadata& facts) {
+  AdmissionDecision Offer(const RequestMetadata& request) {
     if (m_stopped) {
-      return Refuse(facts.work_class, RefusalReason::kTargetLeaving, {});
+      return Refuse(request.work_class, RefusalReason::kTargetLeaving, {});
     }
-    if (CanStartImmediately(facts.work_class)) {
-      return StartOrRefuseOffered(facts);
+    if (CanStartImmediately(request.work_class)) {
+      return StartOrRefuseOffered(request);
     }
-    return QueueOrRefuse(facts);
+    return QueueOrRefuse(request);
   }
 
   void OnFinished(RequestTicket ticket,
@@ -193,7 +195,7 @@
     status.burst_credit = m_credit.available();
     status.admitted_total = m_admitted_total;
     status.refused_total = m_refused_total;
-    // The mean of nothing is no number.
+    // The mean of an empty accumulator is not a number.
     if (acc::count(m_wait_times) > 0) {
       status.mean_wait = std::chrono::duration_cast<std::chrono::microseconds>(
           std::chrono::duration<double>(acc::mean(m_wait_times)));
@@ -231,20 +233,22 @@
     return std::max<std::size_t>(1, EffectiveLimit() / kGuaranteedLimitDivisor);
   }
 
-  // Square-root staffing: with its mean demand and the root of it again, short
-  // work seldom meets a moment at which long work holds all that it needs.
+  // Square-root staffing: reserves the mean demand of short work plus its
+  // square root, so that short work rarely finds the capacity that it needs
+  // taken by long work.
   std::size_t MaxLongConcurrency() const {
     const double demand = m_short_demand.average();
     if (demand < kNegligibleDemand) {
       return EffectiveLimit();
     }
     const double staffing = std::ceil(demand + std::sqrt(demand));
-    const std::size_t kept =
+    const std::size_t reserved =
         std::max(static_cast<std::size_t>(staffing),
                  EffectiveLimit() / kGuaranteedLimitDivisor);
     const std::size_t guaranteed = MinLongConcurrency();
-    return kept + guaranteed >= EffectiveLimit() ? guaranteed
-                                                 : EffectiveLimit() - kept;
+    return reserved + guaranteed >= EffectiveLimit()
+               ? guaranteed
+               : EffectiveLimit() - reserved;
   }
 
   bool CanStartImmediately(WorkClass work_class) const {
@@ -262,42 +266,43 @@
     return QueueOf(WorkClass::kShort).empty() && running < MaxLongConcurrency();
   }
 
-  // With nothing of its class running, a request is let through even if past
-  // run times say that it would be late. Otherwise one slow spell that pushed
-  // the estimate over everybody's deadline would refuse everything for good:
-  // with nothing run, nothing could ever correct it.
+  // While no request of its class is running, a request is admitted even if
+  // past run times predict that it will be late. Otherwise a slow period that
+  // raised the estimate above every deadline would refuse everything for good:
+  // without runs the estimate is never corrected.
   bool IsProbe(WorkClass work_class) const {
     return RunningOf(work_class) == 0;
   }
 
-  AdmissionDecision StartOrRefuseOffered(const RequestMetadata& facts) {
+  AdmissionDecision StartOrRefuseOffered(const RequestMetadata& request) {
     const Clock::TimePoint now = m_clock.Now();
-    const bool in_time =
-        IsProbe(facts.work_class)
-            ? now < facts.deadline
-            : now + ServiceTimeOf(facts.work_class).mean() <= facts.deadline;
+    const bool in_time = IsProbe(request.work_class)
+                             ? now < request.deadline
+                             : now + ServiceTimeOf(request.work_class).mean() <=
+                                   request.deadline;
     if (!in_time) {
-      return Refuse(facts.work_class, RefusalReason::kDeadlineTooClose, {});
+      return Refuse(request.work_class, RefusalReason::kDeadlineTooClose, {});
     }
-    Start(facts);
+    Start(request);
     return {};
   }
 
-  AdmissionDecision QueueOrRefuse(const RequestMetadata& facts) {
-    const std::size_t rank = QueueOf(facts.work_class).RankOf(facts);
+  AdmissionDecision QueueOrRefuse(const RequestMetadata& request) {
+    const std::size_t rank = QueueOf(request.work_class).RankOf(request);
     const Clock::Duration wait =
         ExpectedStall() +
-        static_cast<std::int64_t>(rank + 1) * TimePerRank(facts.work_class);
+        static_cast<std::int64_t>(rank + 1) * TimePerRank(request.work_class);
     const Clock::TimePoint end =
-        m_clock.Now() + wait + ServiceTimeOf(facts.work_class).upper_estimate();
-    if (end > facts.deadline) {
-      return Refuse(facts.work_class, RefusalReason::kDeadlineTooClose, wait);
+        m_clock.Now() + wait +
+        ServiceTimeOf(request.work_class).upper_estimate();
+    if (end > request.deadline) {
+      return Refuse(request.work_class, RefusalReason::kDeadlineTooClose, wait);
     }
-    const bool is_long_wait = wait > MaxWaitWithoutCredit(facts.work_class);
-    if (is_long_wait && !TrySpendCredit(facts)) {
-      return Refuse(facts.work_class, RefusalReason::kOverloaded, wait);
+    const bool is_long_wait = wait > MaxWaitWithoutCredit(request.work_class);
+    if (is_long_wait && !TrySpendCredit(request)) {
+      return Refuse(request.work_class, RefusalReason::kOverloaded, wait);
     }
-    return Enqueue(facts, wait);
+    return Enqueue(request, wait);
   }
 
   Clock::Duration MaxWaitWithoutCredit(WorkClass work_class) const {
@@ -309,19 +314,21 @@
         kMaxLongWaitInRuns * ServiceTimeOf(work_class).mean());
   }
 
-  // Not for a caller that is over its share: it alone would spend the credit
-  // that all need, and then they would be refused for its rush.
-  bool TrySpendCredit(const RequestMetadata& facts) {
-    if (QueueOf(facts.work_class).IsOverFairShare(facts)) {
+  // A caller that is over its fair share gets no credit: it would spend the
+  // credit that all callers need, and they would then be refused because of its
+  // burst.
+  bool TrySpendCredit(const RequestMetadata& request) {
+    if (QueueOf(request.work_class).IsOverFairShare(request)) {
       return false;
     }
-    return m_credit.TrySpend(ToSeconds(ServiceTimeOf(facts.work_class).mean()));
+    return m_credit.TrySpend(
+        ToSeconds(ServiceTimeOf(request.work_class).mean()));
   }
 
-  AdmissionDecision Enqueue(const RequestMetadata& facts,
+  AdmissionDecision Enqueue(const RequestMetadata& request,
                             Clock::Duration wait) {
     const RequestQueue::PushResult result =
-        QueueOf(facts.work_class).Push(facts, m_clock.Now());
+        QueueOf(request.work_class).Push(request, m_clock.Now());
     const RefusalReason reason = result.limited_by_bytes
                                      ? RefusalReason::kQueueBytesFull
                                      : RefusalReason::kQueueFull;
@@ -329,13 +336,14 @@
       RefuseQueued(evicted, reason, wait);
     }
     if (!result.accepted) {
-      return Refuse(facts.work_class, reason, wait);
+      return Refuse(request.work_class, reason, wait);
     }
     UpdateLoad();
     return {AdmissionDecision::Verdict::kQueued, std::nullopt};
   }
 
-  // How many places the class has when all are in use.
+  // The number of requests of the class that run at once when the limit is
+  // fully used.
   std::size_t ConcurrencyOf(WorkClass work_class) const {
     if (work_class == WorkClass::kLong) {
       return std::max(MaxLongConcurrency(), MinLongConcurrency());
@@ -351,20 +359,23 @@
            static_cast<std::int64_t>(ConcurrencyOf(work_class));
   }
 
-  // A frozen target finishes nothing, so run times never show it. What has
-  // stood still for longer than a run takes is expected to go on doing so for
-  // as long again; those who can't wait for that are told at once.
+  // Expected remaining time of a stall. A frozen target finishes nothing, so
+  // run times never reveal it. If nothing has finished for longer than a run
+  // takes, the stall is expected to last as long again, and requests that can't
+  // wait for that are refused at once.
   Clock::Duration ExpectedStall() const {
     if (m_running.empty()) {
       return {};
     }
-    const Clock::Duration still = m_clock.Now() - m_last_progress;
-    return still > LongestExpectedRunTime() ? still : Clock::Duration(0);
+    const Clock::Duration stalled_for = m_clock.Now() - m_last_progress;
+    return stalled_for > LongestExpectedRunTime() ? stalled_for
+                                                  : Clock::Duration(0);
   }
 
-  // A refusal by the target is quick and says nothing about work that runs. A
-  // run without an answer took at least this long; with a lost connection, that
-  // may be nothing: a crashing target would look like the fastest one.
+  // A refusal by the target is fast and says nothing about the time of a run. A
+  // run without an answer took at least `latency`, so it counts only if that is
+  // above the mean: after a lost connection `latency` may be close to zero, and
+  // a crashing target would look like the fastest one.
   bool IsServiceTimeSample(WorkClass work_class,
                            TargetCallOutcome outcome,
                            Clock::Duration latency) const {
@@ -374,11 +385,12 @@
     return outcome == TargetCallOutcome::kDone;
   }
 
-  // What ran through a freeze all ends together when it is over, each with the
-  // freeze in its latency. Taken as run times, these would have every request
-  // refused as too late just when the target is well again. The first of them
-  // counts, but as no more than kMostAfterStall times what was expected: if run
-  // times have really grown so much, the next ones lead there in a few steps.
+  // Requests that ran through a freeze all end together when it is over, each
+  // with the freeze in its latency. Recorded as run times, these would have
+  // every request refused as too late just when the target has recovered. Only
+  // the first one is recorded, and as at most kMaxSampleFactorAfterStall times
+  // the upper estimate of the run time; if run times have really grown that
+  // much, the next samples reach them in a few steps.
   void RecordServiceTime(const RunningRequest& ended, Clock::Duration latency) {
     const Clock::TimePoint now = m_clock.Now();
     if (now - m_last_progress >
@@ -406,20 +418,20 @@
                : of_short;
   }
 
-  void Start(const RequestMetadata& facts) {
+  void Start(const RequestMetadata& request) {
     if (m_running.empty()) {
       m_last_progress = m_clock.Now();
     }
     const bool is_new =
         m_running
-            .emplace(facts.ticket,
-                     RunningRequest{facts.work_class, m_clock.Now(),
-                                    facts.deadline, false})
+            .emplace(request.ticket,
+                     RunningRequest{request.work_class, m_clock.Now(),
+                                    request.deadline, false})
             .second;
-    // The caller used one ticket for two requests.
+    // A ticket must not be reused while its request waits or runs.
     assert(is_new);
     static_cast<void>(is_new);
-    ++m_running_of[IndexOf(facts.work_class)];
+    ++m_running_of[IndexOf(request.work_class)];
     ++m_admitted_total;
     UpdateLoad();
   }
@@ -447,19 +459,19 @@
 
   void StartOrRefuse(const RequestQueue::QueuedRequest& waiting,
                      AdmissionChanges& changes) {
-    const RequestMetadata& facts = waiting.facts;
+    const RequestMetadata& request = waiting.request;
     const Clock::TimePoint now = m_clock.Now();
     const Clock::Duration needed =
-        IsProbe(facts.work_class)
+        IsProbe(request.work_class)
             ? Clock::Duration(1)
-            : ServiceTimeOf(facts.work_class).upper_estimate();
-    if (now + needed > facts.deadline) {
-      RefuseQueued(facts, RefusalReason::kDeadlineTooClose, {});
+            : ServiceTimeOf(request.work_class).upper_estimate();
+    if (now + needed > request.deadline) {
+      RefuseQueued(request, RefusalReason::kDeadlineTooClose, {});
       return;
     }
     m_wait_times(ToSeconds(now - waiting.enqueued_at));
-    Start(facts);
-    changes.admitted.push_back(facts.ticket);
+    Start(request);
+    changes.admitted.push_back(request.ticket);
   }
 
   void SweepWhenDue(AdmissionChanges& changes) {
@@ -474,13 +486,15 @@
   }
 
   void RefuseUnmeetable(WorkClass work_class) {
-    const Clock::Duration first =
+    const Clock::Duration time_to_first_end =
         ExpectedStall() + ServiceTimeOf(work_class).upper_estimate();
-    const std::vector<RequestMetadata> hopeless =
+    const std::vector<RequestMetadata> unmeetable =
         QueueOf(work_class)
-            .TakeUnmeetable(m_clock.Now() + first, TimePerRank(work_class));
-    for (const RequestMetadata& facts : hopeless) {
-      RefuseQueued(facts, RefusalReason::kDeadlineTooClose, first);
+            .TakeUnmeetable(m_clock.Now() + time_to_first_end,
+                            TimePerRank(work_class));
+    for (const RequestMetadata& request : unmeetable) {
+      RefuseQueued(request, RefusalReason::kDeadlineTooClose,
+                   time_to_first_end);
     }
   }
 
@@ -496,8 +510,8 @@
 
   void RefuseAllQueued() {
     for (RequestQueue& queue : m_queues) {
-      for (const RequestMetadata& facts : queue.TakeAll()) {
-        RefuseQueued(facts, RefusalReason::kTargetLeaving, {});
+      for (const RequestMetadata& request : queue.TakeAll()) {
+        RefuseQueued(request, RefusalReason::kTargetLeaving, {});
       }
     }
   }
@@ -518,11 +532,11 @@
             MakeRefusal(work_class, reason, wait)};
   }
 
-  void RefuseQueued(const RequestMetadata& facts,
+  void RefuseQueued(const RequestMetadata& request,
                     RefusalReason reason,
                     Clock::Duration wait) {
     m_refused.push_back(
-        {facts.ticket, MakeRefusal(facts.work_class, reason, wait)});
+        {request.ticket, MakeRefusal(request.work_class, reason, wait)});
   }
 
   void UpdateLoad() {
@@ -544,7 +558,7 @@
   std::array<std::size_t, kWorkClassCount> m_running_of{};
   std::unordered_map<RequestTicket, RunningRequest> m_running;
   DemandAverage m_short_demand;
-  // Refused since the last Poll().
+  // Queued requests refused since the last Poll().
   std::vector<RefusedRequest> m_refused;
   Clock::TimePoint m_last_progress;
   Clock::TimePoint m_stall_ended;
@@ -562,8 +576,8 @@
 
 AdmissionController::~AdmissionController() = default;
 
-AdmissionDecision AdmissionController::Offer(const RequestMetadata& facts) {
-  return m_impl->Offer(facts);
+AdmissionDecision AdmissionController::Offer(const RequestMetadata& request) {
+  return m_impl->Offer(request);
 }
 
 void AdmissionController::OnFinished(RequestTicket ticket,
--- a/modules/coordination/load/burst_credit.cc
+++ b/modules/coordination/load/burst_credit.cc
@@ -13,18 +13,19 @@
       m_last_refill(clock.Now()) {}
 
 void BurstCredit::SetIdleShare(double idle_share) {
-  // The caller divided by a limit that shrank below what already runs.
+  // The caller must clamp the share: more requests can be running than a limit
+  // that has just shrunk.
   assert(idle_share >= 0 && idle_share <= 1);
   Refill();
   m_idle_share = idle_share;
 }
 
-bool BurstCredit::TrySpend(double slot_seconds) {
+bool BurstCredit::TrySpend(double run_seconds) {
   Refill();
-  if (m_available < slot_seconds) {
+  if (m_available < run_seconds) {
     return false;
   }
-  m_available -= slot_seconds;
+  m_available -= run_seconds;
   return true;
 }
 
--- a/modules/coordination/load/concurrency_limit_test.cc
+++ b/modules/coordination/load/concurrency_limit_test.cc
@@ -10,16 +10,16 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kSlots = 12;
+constexpr std::size_t kDeclaredConcurrency = 12;
 
-// A target that does `places` runs of 20 ms at once and queues the rest.
+// A target that runs `capacity` requests of 20 ms at once and queues the rest.
 class QueueingTarget {
  public:
-  explicit QueueingTarget(std::size_t places) : m_capacity(places) {}
+  explicit QueueingTarget(std::size_t capacity) : m_capacity(capacity) {}
 
   void SetRunTime(milliseconds run_time) { m_run_time = run_time; }
 
-  // Keeps the limit in full use for `seconds`.
+  // Keeps as many requests running as the limit allows, for `seconds`.
   void Saturate(ManualClock& clock, ConcurrencyLimit& limit, int seconds) {
     for (int step = 0; step < 50 * seconds; ++step) {
       const std::size_t running = limit.limit();
@@ -40,14 +40,14 @@
 
 ConcurrencyLimit::Parameters Declared() {
   ConcurrencyLimit::Parameters parameters;
-  parameters.declared_concurrency = kSlots;
+  parameters.declared_concurrency = kDeclaredConcurrency;
   parameters.declared_connections = 40;
   return parameters;
 }
 
 }  // namespace
 
-TEST_CASE("a target that can do more than it declares gets more") {
+TEST_CASE("a target with more capacity than declared gets a higher limit") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   QueueingTarget target(30);
@@ -56,42 +56,43 @@
   CHECK(limit.limit() <= 34);
 }
 
-// Callers see every answer late: the target declares twelve slots and has ten.
-// Latency rises with each place, so the limit has no reason to grow; it must
-// not follow the target's own queue upwards, minute after minute.
-TEST_CASE("hours of saturation don't raise the limit of a full target") {
+// The target declares a concurrency of twelve and has ten. Latency rises with
+// each further request; if the limit followed the target's own queue upwards,
+// minute after minute, callers would see every answer late.
+TEST_CASE("long saturation doesn't raise the limit of a full target") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   QueueingTarget target(10);
   target.Saturate(clock, limit, 1800);
-  CHECK(limit.limit() <= kSlots);
+  CHECK(limit.limit() <= kDeclaredConcurrency);
 }
 
-// A store behind the target slows every run down fourfold. Fewer places don't
-// make it faster, so a limit that shrinks with latency alone refuses callers
-// that the target could serve. The cut is tried, does less work, and goes.
-TEST_CASE("a slowdown that is not the target's queue takes no places away") {
+// A store behind the target slows every run down fourfold. A lower limit does
+// not make it faster, so a limit that shrinks with latency alone would refuse
+// callers that the target could serve. The cut is tried, reduces the
+// throughput, and must be reverted.
+TEST_CASE("a slowdown not caused by the target's queue keeps the limit") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
-  QueueingTarget target(kSlots);
+  QueueingTarget target(kDeclaredConcurrency);
   target.Saturate(clock, limit, 20);
   target.SetRunTime(milliseconds(80));
-  std::size_t places = 0;
+  std::size_t limit_sum = 0;
   for (int second = 0; second < 20; ++second) {
     target.Saturate(clock, limit, 1);
-    places += limit.limit();
+    limit_sum += limit.limit();
   }
-  CHECK(places >= 20 * (kSlots - 1));
+  CHECK(limit_sum >= 20 * (kDeclaredConcurrency - 1));
 }
 
-TEST_CASE("a quiet target keeps its declared slots") {
+TEST_CASE("a target with little load keeps its declared concurrency") {
   ManualClock clock;
   ConcurrencyLimit limit(clock, Declared());
   for (int run = 0; run < 1000; ++run) {
     clock.Advance(milliseconds(20));
     limit.OnFinished(WorkClass::kShort, milliseconds(run % 7 * 10), 1);
   }
-  CHECK(limit.limit() == kSlots);
+  CHECK(limit.limit() == kDeclaredConcurrency);
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/load/retry_after_pacer_test.cc
+++ b/modules/coordination/load/retry_after_pacer_test.cc
@@ -10,9 +10,10 @@
 
 using std::chrono::milliseconds;
 
-// Two thousand callers are refused in one moment by a target that does a
-// hundred a second. Told the same pause, all would come back in one moment.
-TEST_CASE("refused callers come back no faster than they can be served") {
+// Five hundred callers are refused at one moment by a target that finishes a
+// hundred requests per second. With equal Retry-After values, all would return
+// at one moment.
+TEST_CASE("refused callers return no faster than they can be served") {
   ManualClock clock;
   std::mt19937_64 random(1);
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
@@ -26,20 +27,20 @@
   }
 }
 
-TEST_CASE("past the longest pause callers are spread, never put off for more") {
+TEST_CASE("beyond the longest Retry-After callers are spread at random") {
   ManualClock clock;
   std::mt19937_64 random(1);
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
   std::map<std::int64_t, int> returns_by_second;
   for (int caller = 0; caller < 20'000; ++caller) {
-    const milliseconds pause = pacer.NextRetryAfter(100, milliseconds(0));
-    CHECK(pause <= milliseconds(20'001));
-    ++returns_by_second[pause / std::chrono::seconds(1)];
+    const milliseconds retry_after = pacer.NextRetryAfter(100, milliseconds(0));
+    CHECK(retry_after <= milliseconds(20'001));
+    ++returns_by_second[retry_after / std::chrono::seconds(1)];
   }
   CHECK(returns_by_second[15] < 3000);
 }
 
-TEST_CASE("nobody is asked back before the wait that was expected") {
+TEST_CASE("no Retry-After is shorter than the expected wait") {
   ManualClock clock;
   std::mt19937_64 random(1);
   RetryAfterPacer pacer(clock, random, RetryAfterPacer::Parameters{});
