--- a/modules/transport/mesh/body_flow_controller.cc
+++ b/modules/transport/mesh/body_flow_controller.cc
@@ -15,23 +15,23 @@
   bool is_granted = false;
 };
 
-// Given back however the body's way ends.
+// Releases the capacity of a body when destroyed, however the transfer ends.
 class BodyFlowController::Permit {
  public:
-  Permit(std::weak_ptr<AliveToken> life, RequestTicket ticket)
-      : m_life(std::move(life)), m_ticket(ticket) {}
+  Permit(std::weak_ptr<AliveToken> alive_token, RequestTicket ticket)
+      : m_alive_token(std::move(alive_token)), m_ticket(ticket) {}
   ~Permit() {
-    const std::shared_ptr<AliveToken> life = m_life.lock();
-    if (!life)
+    const std::shared_ptr<AliveToken> alive = m_alive_token.lock();
+    if (!alive)
       return;
-    life->controller.m_scheduler.OnFinished(m_ticket);
-    life->controller.ResumeWaiting();
+    alive->controller.m_scheduler.OnFinished(m_ticket);
+    alive->controller.ResumeWaiting();
   }
   Permit(const Permit&) = delete;
   Permit& operator=(const Permit&) = delete;
 
  private:
-  const std::weak_ptr<AliveToken> m_life;
+  const std::weak_ptr<AliveToken> m_alive_token;
   const RequestTicket m_ticket;
 };
 
@@ -46,19 +46,19 @@
 
 Task<std::shared_ptr<void>> BodyFlowController::Acquire(
     std::uint64_t bytes,
-    Clock::TimePoint aim,
-    Clock::TimePoint latest) {
+    Clock::TimePoint soft_deadline,
+    Clock::TimePoint deadline) {
   const RequestTicket ticket = m_next_ticket;
   m_next_ticket = m_next_ticket.Next();
   const BodyTransferScheduler::Verdict verdict =
-      m_scheduler.Offer({ticket, bytes, aim, latest});
+      m_scheduler.Offer({ticket, bytes, soft_deadline, deadline});
   if (verdict == BodyTransferScheduler::Verdict::kRefused)
     co_return nullptr;
-  auto place = std::make_shared<Permit>(m_alive_token, ticket);
+  auto permit = std::make_shared<Permit>(m_alive_token, ticket);
   if (verdict == BodyTransferScheduler::Verdict::kGranted)
-    co_return place;
+    co_return permit;
   auto pending = std::make_shared<Pending>(m_loop);
-  // Poll() ends the wait.
+  // ResumeWaiting() ends the wait.
   pending->wakeup.expires_at(boost::asio::steady_timer::time_point::max());
   m_pending.emplace(ticket, pending);
   boost::system::error_code ignored;
@@ -67,7 +67,7 @@
   m_pending.erase(ticket);
   if (!pending->is_granted)
     co_return nullptr;
-  co_return place;
+  co_return permit;
 }
 
 void BodyFlowController::ResumeWaiting() {
--- a/modules/transport/mesh/body_flow_controller.h
+++ b/modules/transport/mesh/body_flow_controller.h
@@ -15,11 +15,12 @@
 
 namespace citrongrade {
 
-// Lets long bodies of other nodes wait at their senders until this node's link
-// has room for them. On the event loop. Kin: BodyRoom decides.
+// Flow control for long request bodies from other nodes: they wait at their
+// senders until this node's link has capacity for them. Runs on the event loop.
+// See also BodyTransferScheduler, which decides which body is next.
 class BodyFlowController {
  public:
-  // `bytes_per_second`: of this host's link.
+  // `bytes_per_second`: capacity of this host's link.
   BodyFlowController(boost::asio::io_context& loop,
                      const Clock& clock,
                      double bytes_per_second);
@@ -27,21 +28,22 @@
   BodyFlowController(const BodyFlowController&) = delete;
   BodyFlowController& operator=(const BodyFlowController&) = delete;
 
-  // A place, kept until the body has come or won't; nullptr: it can't be here
-  // by `latest`.
+  // Waits for a permit, to be kept until the body has arrived or its transfer
+  // has failed. Returns nullptr if the body can't arrive by `deadline`.
   Task<std::shared_ptr<void>> Acquire(std::uint64_t bytes,
-                                      Clock::TimePoint aim,
-                                      Clock::TimePoint latest);
-  // Every 20 ms.
+                                      Clock::TimePoint soft_deadline,
+                                      Clock::TimePoint deadline);
+  // Call this every 20 ms.
   void Tick() { ResumeWaiting(); }
   Clock::Duration DrainTime() const { return m_scheduler.DrainTime(); }
 
  private:
   class Permit;
   struct Pending;
-  // What waits for a body may outlive the gate, as it ends with the loop.
+  // Expires with the controller. Permits may outlive it, because the coroutines
+  // that hold them end with the event loop.
   struct AliveToken {
-    explicit AliveToken(BodyFlowController& its_gate) : controller(its_gate) {}
+    explicit AliveToken(BodyFlowController& owner) : controller(owner) {}
     BodyFlowController& controller;
   };
 
--- a/modules/transport/mesh/forward_metadata.cc
+++ b/modules/transport/mesh/forward_metadata.cc
@@ -51,7 +51,7 @@
   const auto end = text.data() + text.size();
   const auto result = std::from_chars(text.data(), end, number);
   if (result.ec != std::errc() || result.ptr != end)
-    throw MalformedMessageError("not a number in a work order");
+    throw MalformedMessageError("malformed number in header Mesh-Work");
   return number;
 }
 
@@ -95,25 +95,25 @@
 ForwardMetadata ForwardMetadata::ExtractFrom(HttpRequest& request) {
   const std::optional<std::string> text = TakeHeader(request.headers, kHeader);
   if (!text)
-    throw MalformedMessageError("a request without a work order");
+    throw MalformedMessageError("header Mesh-Work is missing");
   const std::vector<std::string_view> fields = Split(*text);
   if (fields.size() != kFieldCount)
-    throw MalformedMessageError("a work order with too few or many fields");
-  ForwardMetadata order;
-  order.request_id = PercentDecode(fields[0]);
-  order.service = PercentDecode(fields[1]);
+    throw MalformedMessageError("wrong number of fields in header Mesh-Work");
+  ForwardMetadata metadata;
+  metadata.request_id = PercentDecode(fields[0]);
+  metadata.service = PercentDecode(fields[1]);
   const std::int64_t key = ReadNumber(fields[2]);
   if (key >= 0)
-    order.key = static_cast<std::uint32_t>(key);
-  order.is_idempotent = ReadNumber(fields[3]) != 0;
-  order.priority = static_cast<std::uint32_t>(ReadNumber(fields[4]));
-  order.route = PercentDecode(fields[5]);
-  order.soft_time_left = std::chrono::milliseconds(ReadNumber(fields[6]));
-  order.time_left = std::chrono::milliseconds(ReadNumber(fields[7]));
-  order.origin_service = PercentDecode(fields[8]);
-  order.sender_id = static_cast<std::uint64_t>(ReadNumber(fields[9]));
-  order.sent_at = std::chrono::nanoseconds(ReadNumber(fields[10]));
-  return order;
+    metadata.key = static_cast<std::uint32_t>(key);
+  metadata.is_idempotent = ReadNumber(fields[3]) != 0;
+  metadata.priority = static_cast<std::uint32_t>(ReadNumber(fields[4]));
+  metadata.route = PercentDecode(fields[5]);
+  metadata.soft_time_left = std::chrono::milliseconds(ReadNumber(fields[6]));
+  metadata.time_left = std::chrono::milliseconds(ReadNumber(fields[7]));
+  metadata.origin_service = PercentDecode(fields[8]);
+  metadata.sender_id = static_cast<std::uint64_t>(ReadNumber(fields[9]));
+  metadata.sent_at = std::chrono::nanoseconds(ReadNumber(fields[10]));
+  return metadata;
 }
 
 }  // namespace citrongrade
--- a/modules/transport/mesh/forward_metadata.h
+++ b/modules/transport/mesh/forward_metadata.h
@@ -10,27 +10,28 @@
 
 namespace citrongrade {
 
-// What the node beside a target has to know of a request that another node
-// passes on to it. Travels as one header, which it takes off again.
+// Metadata of a request that one node forwards to the node of a target. Sent as
+// the header Mesh-Work, which the receiving node removes.
 struct ForwardMetadata {
   std::string request_id;
   std::string service;
   std::optional<std::uint32_t> key;
   bool is_idempotent = false;
   std::uint32_t priority = 0;
-  // Requests of one kind take about as long as each other.
+  // Name of the route. Requests of one route have similar service times.
   std::string route;
-  // Left of the time within which an answer is worth most, and of the time
-  // after which nobody waits.
+  // Time left until the soft deadline (arrival plus target latency), and until
+  // the deadline, after which the caller no longer waits.
   std::chrono::milliseconds soft_time_left{0};
   std::chrono::milliseconds time_left{0};
   std::string origin_service;
-  // The node that passes it on (drawn at its start), and when, by its clock.
+  // Id of the forwarding process (drawn at its start), and the send time by its
+  // clock.
   std::uint64_t sender_id = 0;
   std::chrono::nanoseconds sent_at{0};
 
   void WriteTo(HttpRequest& request) const;
-  // Takes it off the request. Throws MalformedMessageError.
+  // Reads and removes the header. Throws MalformedMessageError.
   static ForwardMetadata ExtractFrom(HttpRequest& request);
 
   friend auto operator<=>(const ForwardMetadata&,
--- a/modules/transport/mesh/forward_metadata_test.cc
+++ b/modules/transport/mesh/forward_metadata_test.cc
@@ -9,28 +9,28 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("a work order comes out as it went in, and leaves no trace") {
-  ForwardMetadata order;
-  order.request_id = "id;with%odd bytes";
-  order.service = "sorteio";
-  order.key = 65'535;
-  order.is_idempotent = true;
-  order.priority = 2;
-  order.route = "r-1";
-  order.soft_time_left = milliseconds(-5);
-  order.time_left = milliseconds(900);
-  order.origin_service = "";
-  order.sender_id = 0xfedcba9876543210;
-  order.sent_at = std::chrono::hours(9000);
+TEST_CASE("metadata survives a round trip and its header is removed") {
+  ForwardMetadata metadata;
+  metadata.request_id = "id;with%odd bytes";
+  metadata.service = "sorteio";
+  metadata.key = 65'535;
+  metadata.is_idempotent = true;
+  metadata.priority = 2;
+  metadata.route = "r-1";
+  metadata.soft_time_left = milliseconds(-5);
+  metadata.time_left = milliseconds(900);
+  metadata.origin_service = "";
+  metadata.sender_id = 0xfedcba9876543210;
+  metadata.sent_at = std::chrono::hours(9000);
   HttpRequest request;
   request.headers.push_back({"X-Other", "kept"});
-  order.WriteTo(request);
-  CHECK(ForwardMetadata::ExtractFrom(request) == order);
+  metadata.WriteTo(request);
+  CHECK(ForwardMetadata::ExtractFrom(request) == metadata);
   REQUIRE(request.headers.size() == 1);
   CHECK(request.headers[0].name == "X-Other");
 }
 
-TEST_CASE("a work order that is missing or broken is refused") {
+TEST_CASE("missing or malformed metadata is rejected") {
   HttpRequest request;
   CHECK_THROWS_AS(ForwardMetadata::ExtractFrom(request), MalformedMessageError);
   for (const char* text : {"", ";;;;", "a;b;x;0;0;k;1;1;o", "a;b;1;0;0;k;1;1",
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("a result comes out as it went in") {
+TEST_CASE("a result survives a round trip") {
   ForwardResult refused = ForwardResult::NotRun(RequestErrorCode::kOverloaded,
                                                 "full", milliseconds(70));
   refused.reached_target = true;
@@ -58,8 +58,8 @@
         response);
 }
 
-// A call was late, and no log said where on its way it had been.
-TEST_CASE("where a try spent its time comes back with its result") {
+// A call was late, and no log line showed in which stage it had been delayed.
+TEST_CASE("an attempt's timings are returned with its result") {
   ForwardTimings times;
   times.transit = milliseconds(700);
   times.body = milliseconds(34);
@@ -81,9 +81,9 @@
         "connect_ms=0 way_ms=700 body_ms=34 queue_ms=5 door_ms=1 target_ms=30");
 }
 
-// What another process, or another version, answers must never pass for the
-// target's answer.
-TEST_CASE("an answer without a result is no result") {
+// A response of another process, or of another version, must never be taken for
+// the target's answer.
+TEST_CASE("a response without a valid result is rejected") {
   HttpResponse response;
   response.head.status = 200;
   CHECK_THROWS_AS(ForwardResult::FromHttpResponse(response),
--- a/modules/transport/mesh/forward_result.cc
+++ b/modules/transport/mesh/forward_result.cc
@@ -15,12 +15,11 @@
 
 using std::chrono::milliseconds;
 
-// "answered", or outcome, number of the error, retry time in ms, and whether
-// the request came to a target.
+// The value is "answered", or four numbers: whether the request didn't run, the
+// error code, the retry time in ms, and whether the request reached a target.
 constexpr std::string_view kHeader = "Mesh-Result";
 constexpr std::string_view kAnswered = "answered";
-// Where the try spent its time, in ms; a node of another version may leave it
-// out.
+// Time spent in each stage, in ms. A node of another version may omit it.
 constexpr std::string_view kTimesHeader = "Mesh-Times";
 constexpr int kNotRunStatus = 503;
 constexpr int kUnknownStatus = 502;
@@ -32,7 +31,8 @@
   const auto result =
       std::from_chars(text.data(), text.data() + text.size(), number);
   if (result.ec != std::errc())
-    throw MalformedMessageError("not a result of another node");
+    throw MalformedMessageError(
+        "malformed number in header Mesh-Result or Mesh-Times");
   text.remove_prefix(static_cast<std::size_t>(result.ptr - text.data()));
   if (!text.empty())
     text.remove_prefix(1);
@@ -94,29 +94,30 @@
 
 HttpResponse ForwardResult::ToHttpResponse() const {
   if (has_answer()) {
-    HttpResponse hop = response;
-    hop.head.headers.push_back({std::string(kHeader), std::string(kAnswered)});
-    WriteTimes(times, hop.head.headers);
-    return hop;
+    HttpResponse http_response = response;
+    http_response.head.headers.push_back(
+        {std::string(kHeader), std::string(kAnswered)});
+    WriteTimes(times, http_response.head.headers);
+    return http_response;
   }
-  HttpResponse hop;
+  HttpResponse http_response;
   const bool not_run = outcome == RequestOutcome::kNotRun;
-  hop.head.status = not_run ? kNotRunStatus : kUnknownStatus;
-  hop.head.headers.push_back(
+  http_response.head.status = not_run ? kNotRunStatus : kUnknownStatus;
+  http_response.head.headers.push_back(
       {std::string(kHeader), std::to_string(not_run ? 1 : 0) + " " +
                                  std::to_string(static_cast<int>(*error)) +
                                  " " + std::to_string(retry_after.count()) +
                                  " " + std::to_string(reached_target ? 1 : 0)});
-  WriteTimes(times, hop.head.headers);
-  hop.body = message;
-  return hop;
+  WriteTimes(times, http_response.head.headers);
+  http_response.body = message;
+  return http_response;
 }
 
 ForwardResult ForwardResult::FromHttpResponse(HttpResponse response) {
   const std::optional<std::string> value =
       TakeHeader(response.head.headers, kHeader);
   if (!value)
-    throw MalformedMessageError("an answer without a result");
+    throw MalformedMessageError("header Mesh-Result is missing");
   const ForwardTimings times = TakeTimes(response.head.headers);
   if (*value == kAnswered) {
     ForwardResult answered = Answered(std::move(response));
@@ -129,7 +130,7 @@
   const int retry_ms = ReadNumber(text);
   const bool has_arrived = ReadNumber(text) != 0;
   if (error < 0 || error > kLastError)
-    throw MalformedMessageError("not an error of another node");
+    throw MalformedMessageError("unknown error code in header Mesh-Result");
   ForwardResult result;
   result.outcome = not_run ? RequestOutcome::kNotRun : RequestOutcome::kUnknown;
   result.error = static_cast<RequestErrorCode>(error);
--- a/modules/transport/mesh/forward_result.h
+++ b/modules/transport/mesh/forward_result.h
@@ -12,33 +12,34 @@
 
 namespace citrongrade {
 
-// How one attempt of a request ended: with the target's answer, or not.
+// Result of one attempt to run a request: the target's answer, or why there is
+// none.
 struct ForwardResult {
   RequestOutcome outcome = RequestOutcome::kNotRun;
-  // Nothing when the target answered.
+  // Not set if the target answered.
   std::optional<RequestErrorCode> error;
   std::string message;
-  // When another try may do better; zero: not known.
+  // Time after which another attempt may succeed; zero if unknown.
   std::chrono::milliseconds retry_after{0};
-  // The request came to a target, whether it ran or not.
+  // The request reached a target, whether it ran or not.
   bool reached_target = false;
-  // Left of the target's hold on the key when the run began, at the node beside
-  // it. A run that takes longer fails at the target.
+  // Time left of the target's hold on the key when the run began, measured at
+  // the target's node. A run that takes longer fails at the target.
   std::optional<std::chrono::milliseconds> hold_left;
   ForwardTimings times;
-  // The target's, when it answered.
+  // The target's answer, if there is one.
   HttpResponse response;
 
   bool has_answer() const { return !error.has_value(); }
 
   static ForwardResult Answered(HttpResponse response);
-  // Only where nothing ran and nothing will.
+  // Only for a request that hasn't run and won't.
   static ForwardResult NotRun(RequestErrorCode error,
                               std::string message,
                               std::chrono::milliseconds retry_after = {});
   static ForwardResult Unknown(RequestErrorCode error, std::string message);
 
-  // As another node gets it, and back.
+  // Conversion to and from the response that is sent between nodes.
   HttpResponse ToHttpResponse() const;
   // Throws MalformedMessageError.
   static ForwardResult FromHttpResponse(HttpResponse response);
--- a/modules/transport/mesh/forward_timings.h
+++ b/modules/transport/mesh/forward_timings.h
@@ -6,24 +6,25 @@
 
 namespace citrongrade {
 
-// Where one try of a request spent its time, in the order in which it went
-// there. For the log: a request that is late was held up at one of these.
+// Time that one attempt spent in each stage, in the order of the stages. Logged
+// to show in which stage a late request was delayed.
 struct ForwardTimings {
-  // Until the connection to the other node was there, by the sender's clock.
+  // Time to get a connection to the other node, measured at the sender.
   std::chrono::milliseconds connect{0};
-  // Its head on the way, above what the path takes when nothing is on it, as
-  // TransitDelay knows it.
+  // Transit time of the request's head beyond that of an idle path, as
+  // estimated by TransitDelayEstimator.
   std::chrono::milliseconds transit{0};
-  // From its head to its last byte, at the node beside the target.
+  // From the request's head to its last byte, at the target's node.
   std::chrono::milliseconds body{0};
-  // Waiting there for a grant and for its turn.
+  // Time that the request waited at the target's node for a grant and in the
+  // queue.
   std::chrono::milliseconds queue{0};
-  // Until a connection to the target was there.
+  // Time to get a connection to the target.
   std::chrono::milliseconds target_connect{0};
-  // From there to the target's whole answer.
+  // From then on to the end of the target's answer.
   std::chrono::milliseconds target{0};
 
-  // Fields of a line of the log.
+  // Returns the times as key=value fields of a log line.
   std::string ToLogFields() const;
 
   friend auto operator<=>(const ForwardTimings&,
--- a/modules/transport/mesh/forwarded_request_handler.cc
+++ b/modules/transport/mesh/forwarded_request_handler.cc
@@ -21,29 +21,30 @@
 Task<HttpResponse> ForwardedRequestHandler::Handle(HttpRequest request,
                                                    RequestContext& context) {
   TakeHeader(request.headers, "Expect");
-  ForwardMetadata order;
+  ForwardMetadata metadata;
   try {
-    order = ForwardMetadata::ExtractFrom(request);
+    metadata = ForwardMetadata::ExtractFrom(request);
   } catch (const MalformedMessageError&) {
     co_return HttpResponse::WithStatus(kBadRequest);
   }
-  const auto held_up =
+  const auto transit =
       std::chrono::floor<std::chrono::milliseconds>(m_transit_delay.OnArrived(
-          order.sender_id, order.sent_at, context.arrived()));
-  const auto body = std::chrono::floor<std::chrono::milliseconds>(
+          metadata.sender_id, metadata.sent_at, context.arrived()));
+  const auto body_time = std::chrono::floor<std::chrono::milliseconds>(
       m_clock.Now() - context.arrived());
-  order.time_left -= held_up + body;
-  order.soft_time_left -= held_up + body;
+  metadata.time_left -= transit + body_time;
+  metadata.soft_time_left -= transit + body_time;
   ForwardResult result;
-  if (order.time_left <= std::chrono::milliseconds(0)) {
-    result = ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
-                                   "its time was over before it came here");
+  if (metadata.time_left <= std::chrono::milliseconds(0)) {
+    result =
+        ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
+                              "the deadline passed before the request arrived");
   } else {
-    result = co_await m_gateway.Run(std::move(request), order, context);
+    result = co_await m_gateway.Run(std::move(request), metadata, context);
   }
-  result.times.transit = held_up;
-  result.times.body = body;
-  m_log.OnTargetResult(order, result, context.caller_ip());
+  result.times.transit = transit;
+  result.times.body = body_time;
+  m_log.OnTargetResult(metadata, result, context.caller_ip());
   co_return result.ToHttpResponse();
 }
 
@@ -51,30 +52,33 @@
     HttpRequest head,
     std::uint64_t bytes,
     RequestContext& context,
-    std::shared_ptr<void>& place) {
-  ForwardMetadata order;
+    std::shared_ptr<void>& permit) {
+  ForwardMetadata metadata;
   try {
-    order = ForwardMetadata::ExtractFrom(head);
+    metadata = ForwardMetadata::ExtractFrom(head);
   } catch (const MalformedMessageError&) {
-    // Handle() says so.
+    // Handle() answers with 400.
     co_return std::nullopt;
   }
-  const Clock::Duration held_up = m_transit_delay.OnArrived(
-      order.sender_id, order.sent_at, context.arrived());
-  const Clock::TimePoint sent = context.arrived() - held_up;
-  const std::chrono::microseconds work(m_gateway.mean_service_time_us());
-  place = co_await m_body_flow_controller.Acquire(
-      bytes, sent + order.soft_time_left - work, sent + order.time_left - work);
-  if (place)
+  const Clock::Duration transit = m_transit_delay.OnArrived(
+      metadata.sender_id, metadata.sent_at, context.arrived());
+  const Clock::TimePoint sent = context.arrived() - transit;
+  const std::chrono::microseconds service_time(
+      m_gateway.mean_service_time_us());
+  permit = co_await m_body_flow_controller.Acquire(
+      bytes, sent + metadata.soft_time_left - service_time,
+      sent + metadata.time_left - service_time);
+  if (permit)
     co_return std::nullopt;
-  ForwardResult result = ForwardResult::NotRun(
-      RequestErrorCode::kOverloaded, "its body can't come in time",
-      std::chrono::ceil<std::chrono::milliseconds>(
-          m_body_flow_controller.DrainTime()));
-  result.times.transit = std::chrono::floor<std::chrono::milliseconds>(held_up);
+  ForwardResult result =
+      ForwardResult::NotRun(RequestErrorCode::kOverloaded,
+                            "the body can't arrive before the deadline",
+                            std::chrono::ceil<std::chrono::milliseconds>(
+                                m_body_flow_controller.DrainTime()));
+  result.times.transit = std::chrono::floor<std::chrono::milliseconds>(transit);
   result.times.body = std::chrono::floor<std::chrono::milliseconds>(
       m_clock.Now() - context.arrived());
-  m_log.OnTargetResult(order, result, context.caller_ip());
+  m_log.OnTargetResult(metadata, result, context.caller_ip());
   co_return result.ToHttpResponse();
 }
 
--- a/modules/transport/mesh/forwarded_request_handler.h
+++ b/modules/transport/mesh/forwarded_request_handler.h
@@ -14,7 +14,7 @@
 class RequestLog;
 class TargetGateway;
 
-// Requests that other nodes pass on to this node's target.
+// Handles requests that other nodes forward to this node's target.
 class ForwardedRequestHandler final : public AsyncHttpServer::Handler {
  public:
   ForwardedRequestHandler(const Clock& clock,
@@ -33,7 +33,7 @@
       HttpRequest head,
       std::uint64_t bytes,
       RequestContext& context,
-      std::shared_ptr<void>& place) override;
+      std::shared_ptr<void>& permit) override;
 
  private:
   const Clock& m_clock;
--- a/modules/transport/mesh/hop_by_hop_headers.cc
+++ b/modules/transport/mesh/hop_by_hop_headers.cc
@@ -14,32 +14,33 @@
   });
 }
 
-// What a Connection header names concerns that connection as well.
+// Names listed in the Connection header. The headers with these names are
+// hop-by-hop headers as well.
 std::vector<std::string> ParseConnectionHeader(
     const std::vector<HttpHeader>& headers) {
-  std::vector<std::string> named;
+  std::vector<std::string> names;
   const auto value = FindHeader(headers, "Connection");
   if (!value)
-    return named;
+    return names;
   std::string name;
   for (const char c : *value) {
     if (c == ',') {
-      named.push_back(std::move(name));
+      names.push_back(std::move(name));
       name.clear();
     } else if (c != ' ' && c != '\t') {
       name += c;
     }
   }
-  named.push_back(std::move(name));
-  return named;
+  names.push_back(std::move(name));
+  return names;
 }
 
 }  // namespace
 
 void RemoveHopByHopHeaders(std::vector<HttpHeader>& headers) {
-  const std::vector<std::string> named = ParseConnectionHeader(headers);
-  std::erase_if(headers, [&named](const HttpHeader& header) {
-    return IsHopByHopHeader(header.name) || IsListed(named, header.name) ||
+  const std::vector<std::string> names = ParseConnectionHeader(headers);
+  std::erase_if(headers, [&names](const HttpHeader& header) {
+    return IsHopByHopHeader(header.name) || IsListed(names, header.name) ||
            SameHeaderName(header.name, "Proxy-Connection") ||
            SameHeaderName(header.name, "Expect");
   });
--- a/modules/transport/mesh/hop_by_hop_headers.h
+++ b/modules/transport/mesh/hop_by_hop_headers.h
@@ -6,8 +6,8 @@
 
 namespace citrongrade {
 
-// Takes off what concerns one connection only: lengths, keep-alive, upgrades.
-// What is passed on gets its own.
+// Removes the headers that concern a single connection: lengths, keep-alive,
+// upgrades. A forwarded message gets its own.
 void RemoveHopByHopHeaders(std::vector<HttpHeader>& headers);
 
 }  // namespace citrongrade
--- a/modules/transport/mesh/instance_chooser.cc
+++ b/modules/transport/mesh/instance_chooser.cc
@@ -10,14 +10,16 @@
 
 namespace {
 
-// Tries to find one that is not excluded; with two random choices each.
+// Maximum number of picks, of two random choices each, until one isn't
+// excluded.
 constexpr int kMaxPicks = 8;
-// Weight of one answer in the mean of its kind: some fifty answers, so that a
-// few slow ones don't become the measure of themselves.
+// Weight of one answer in the mean latency of its route. About fifty answers
+// dominate the mean, so that a few slow ones don't distort the reference that
+// they are compared with.
 constexpr double kMeanLatencyWeight = 0.02;
-// An operator may name none.
+// Avoids a division by zero where an operator configured no target latency.
 constexpr Clock::Duration kMinTargetLatency = std::chrono::milliseconds(1);
-// A refusal counts like an answer that took this much of its target latency.
+// A refusal counts as an answer with this ratio of latency to target latency.
 constexpr double kRefusalLatencyRatio = 1.5;
 
 }  // namespace
@@ -31,16 +33,17 @@
   TargetEjection ejection;
   std::set<std::string> members;
   bool was_used = false;
-  // By kind: how long answers take, in seconds.
+  // Mean latency by route, in seconds.
   std::map<std::string, double> mean_latency_s;
 
-  // How long it took by what is usual for its kind.
-  double RecordLatency(const std::string& kind, Clock::Duration latency) {
+  // Updates the mean latency of the route. Returns the latency divided by the
+  // mean before the update.
+  double RecordLatency(const std::string& route, Clock::Duration latency) {
     const double seconds = std::chrono::duration<double>(latency).count();
-    double& mean = mean_latency_s.try_emplace(kind, seconds).first->second;
+    double& mean = mean_latency_s.try_emplace(route, seconds).first->second;
     const double slowness = mean > 0 ? seconds / mean : 1;
-    const double counted = std::min(seconds, mean * TargetPicker::kMaxSlowness);
-    mean += kMeanLatencyWeight * (counted - mean);
+    const double bounded = std::min(seconds, mean * TargetPicker::kMaxSlowness);
+    mean += kMeanLatencyWeight * (bounded - mean);
     return slowness;
   }
 };
@@ -64,9 +67,10 @@
     service.picker.SetTarget({id, AvailabilityZone(member->zone),
                               std::max<std::size_t>(1, member->concurrency)});
     const bool is_leaving = member->state == MeshMember::State::kDraining;
-    // It left and is back. Views never go backwards, but one may pass over the
-    // time between; taken for a late word, its return would count for nothing,
-    // and it would get no work for good.
+    // The member left and is back. Views never go backwards, but one may skip
+    // the time in between. TargetEjection would take the return for a delayed
+    // announcement and ignore it, and the member would never get requests
+    // again.
     const bool is_known = service.members.contains(member->address);
     if (!is_leaving && is_known &&
         service.ejection.StateOf(id) == TargetEjection::State::kLeaving)
@@ -75,11 +79,11 @@
     if (service.was_used && !is_known)
       service.ejection.MarkCold(id);
   }
-  for (const std::string& gone : service.members) {
-    if (members.contains(gone))
+  for (const std::string& removed : service.members) {
+    if (members.contains(removed))
       continue;
-    service.picker.RemoveTarget(TargetId(gone));
-    service.ejection.RemoveTarget(TargetId(gone));
+    service.picker.RemoveTarget(TargetId(removed));
+    service.ejection.RemoveTarget(TargetId(removed));
   }
   service.members = std::move(members);
   service.ejection.Poll();
@@ -110,7 +114,7 @@
   Service& chosen = *found->second;
   chosen.was_used = true;
   std::optional<TargetId> last;
-  for (int draw = 0; draw < kMaxPicks; ++draw) {
+  for (int pick = 0; pick < kMaxPicks; ++pick) {
     const std::optional<TargetId> picked = chosen.picker.Pick(last);
     if (!picked)
       return std::nullopt;
@@ -140,7 +144,7 @@
 
 void InstanceChooser::OnFinished(const std::string& service,
                                  const std::string& address,
-                                 const std::string& kind,
+                                 const std::string& route,
                                  TargetCallOutcome outcome,
                                  Clock::Duration latency,
                                  Clock::Duration target_latency) {
@@ -150,14 +154,14 @@
   Service& chosen = *found->second;
   const TargetId id(address);
   chosen.picker.OnFinished(id);
-  // A refusal is quick and says nothing of how long work takes.
+  // A refusal is quick and says nothing about how long answers take.
   if (outcome != TargetCallOutcome::kNotRun)
-    chosen.picker.OnSlowness(id, chosen.RecordLatency(kind, latency));
-  const double share = std::chrono::duration<double>(latency) /
+    chosen.picker.OnSlowness(id, chosen.RecordLatency(route, latency));
+  const double ratio = std::chrono::duration<double>(latency) /
                        std::chrono::duration<double>(
                            std::max(target_latency, kMinTargetLatency));
   chosen.picker.OnTargetLatencyRatio(
-      id, outcome == TargetCallOutcome::kNotRun ? kRefusalLatencyRatio : share);
+      id, outcome == TargetCallOutcome::kNotRun ? kRefusalLatencyRatio : ratio);
   chosen.ejection.OnFinished(id, outcome, latency);
   if (chosen.members.contains(address))
     chosen.picker.SetEligible(id, chosen.ejection.IsEligible(id));
--- a/modules/transport/mesh/instance_chooser.h
+++ b/modules/transport/mesh/instance_chooser.h
@@ -13,31 +13,31 @@
 
 namespace citrongrade {
 
-// Which member runs a request for a service that is not divided by key: one of
-// the own availability zone while there is room, judged by what this node sees
-// of its own requests.
+// Chooses the member that runs a request for a service that isn't sharded.
+// Prefers the own availability zone while it has capacity, judged by the
+// outcomes of this node's own requests.
 //
-// Thread-confined. Kin: TargetPicker chooses, TargetEjection says who may be
-// chosen; this one keeps both up to the view.
+// Thread-confined. TargetPicker chooses and TargetEjection decides who is
+// eligible; this class keeps both up to date with the view of the mesh.
 class InstanceChooser {
  public:
   InstanceChooser(const Clock& clock, std::string own_zone);
   ~InstanceChooser();
 
-  // Whenever the view has changed, and every 100 ms besides.
+  // Call this whenever the view has changed, and every 100 ms.
   void Refresh(const MeshView& view);
 
-  // Mesh address of the one chosen. None when there is nobody.
+  // Returns the mesh address of the chosen member, or nullopt if there is none.
   std::optional<std::string> Choose(const std::string& service,
                                     const std::set<std::string>& excluded);
-  // Whether the service has a member that is not excluded.
+  // Returns whether the service has a member that isn't excluded.
   bool HasAlternative(const std::string& service,
                       const std::set<std::string>& excluded) const;
-  // Once for each that was chosen. Requests of one `kind` take about as long as
-  // each other.
+  // Call this once for each request that got a member from Choose(). Requests
+  // of one `route` have similar latencies.
   void OnFinished(const std::string& service,
                   const std::string& address,
-                  const std::string& kind,
+                  const std::string& route,
                   TargetCallOutcome outcome,
                   Clock::Duration latency,
                   Clock::Duration target_latency);
--- a/modules/transport/mesh/instance_chooser_test.cc
+++ b/modules/transport/mesh/instance_chooser_test.cc
@@ -27,7 +27,7 @@
     chooser.Refresh(view);
   }
 
-  // How many of 20 requests go to the address; each ends at once.
+  // Returns how many of 20 requests go to the address. Each ends at once.
   int CountTo(const std::string& address) {
     int count = 0;
     for (int i = 0; i < 20; ++i) {
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(Fixture, "a member that leaves gets no new work") {
+TEST_CASE_FIXTURE(Fixture, "a draining member gets no requests") {
   SetMemberState("a", MeshMember::State::kServing);
   SetMemberState("b", MeshMember::State::kServing);
   CHECK(CountTo("a") > 0);
@@ -57,10 +57,11 @@
   CHECK(CountTo("b") == 20);
 }
 
-// A node is told to stop and is back within a quarter of a second: the next
-// view that others get shows it serving, not that it was away. All its
-// service's callers there were refused for good.
-TEST_CASE_FIXTURE(Fixture, "a member that left and is back gets work again") {
+// A node drained and was back within a quarter of a second. The next view that
+// other nodes got showed it as serving and not that it had been away, so it was
+// kept out for good and all requests for its service were refused there.
+TEST_CASE_FIXTURE(Fixture,
+                  "a member that left and is back gets requests again") {
   SetMemberState("a", MeshMember::State::kServing);
   SetMemberState("a", MeshMember::State::kDraining);
   REQUIRE_FALSE(chooser.Choose("plain", {}).has_value());
@@ -68,7 +69,7 @@
   CHECK(CountTo("a") == 20);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a member that is absent gets no work") {
+TEST_CASE_FIXTURE(Fixture, "an absent member gets no requests") {
   SetMemberState("a", MeshMember::State::kServing);
   SetMemberState("a", MeshMember::State::kAbsent);
   CHECK_FALSE(chooser.Choose("plain", {}).has_value());
