--- a/modules/coordination/mesh/config_distributor.cc
+++ b/modules/coordination/mesh/config_distributor.cc
@@ -8,19 +8,21 @@
 
 using std::chrono::milliseconds;
 
-// Transfers from one source at the same time: a weak host's link keeps room for
-// requests, a strong one's carries more.
+// Concurrent transfers from one source. On a weak host's link room has to
+// remain for requests; a fit host can carry more.
 constexpr unsigned kBaseTransfers = 2;
 constexpr unsigned kExtraTransfersForFitHosts = 6;
-// A transfer that has not ended by then is given up, at both ends.
+// A transfer that has not ended after this time is given up by the source and
+// the receiver.
 constexpr milliseconds kTransferTimeout{1000};
-// By then a node that was named a source says that it fetches.
+// A node that was assigned a source has to report within this time that it is
+// fetching.
 constexpr milliseconds kFetchStartTimeout{300};
-// For so long a source of the node's own zone is waited for.
+// How long a node waits for a source in its own zone.
 constexpr milliseconds kZoneWait{300};
-// A source that failed a node is not named to it again for so long.
+// A source that failed a node is not assigned to it again for this long.
 constexpr milliseconds kFailedSourceBackoff{400};
-// One that was silent for longer is not named as a source.
+// A node whose last heartbeat is older is not assigned as a source.
 constexpr milliseconds kMaxHeartbeatAge{800};
 
 }  // namespace
@@ -67,8 +69,8 @@
 void ConfigDistributor::OnNewVersion(std::uint64_t version) {
   m_newest = version;
   m_sources_by_zone.clear();
-  // What is under way brings an earlier version, and still takes its source's
-  // link.
+  // Transfers in progress deliver an earlier version and still use their
+  // source's link, so they stay counted.
   for (auto& [address, node] : m_nodes)
     node.behind_since = m_clock.Now();
 }
@@ -107,11 +109,11 @@
 }
 
 bool ConfigDistributor::ShouldWaitForZone(const Node& node) const {
-  const auto holders = m_sources_by_zone.find(node.zone);
-  if (holders == m_sources_by_zone.end() ||
+  const auto sources = m_sources_by_zone.find(node.zone);
+  if (sources == m_sources_by_zone.end() ||
       m_clock.Now() - node.behind_since > kZoneWait)
     return false;
-  return std::any_of(holders->second.begin(), holders->second.end(),
+  return std::any_of(sources->second.begin(), sources->second.end(),
                      [&](const std::string& address) {
                        return IsUsableSource(address, node);
                      });
@@ -119,10 +121,10 @@
 
 std::string ConfigDistributor::FindSourceInZone(const std::string& zone,
                                                 const Node& node) {
-  const auto holders = m_sources_by_zone.find(zone);
-  if (holders == m_sources_by_zone.end())
+  const auto sources = m_sources_by_zone.find(zone);
+  if (sources == m_sources_by_zone.end())
     return {};
-  for (const std::string& address : holders->second) {
+  for (const std::string& address : sources->second) {
     if (IsUsableSource(address, node) && HasCapacity(m_nodes.at(address)))
       return address;
   }
@@ -133,7 +135,7 @@
   std::string source = FindSourceInZone(node.zone, node);
   if (!source.empty() || ShouldWaitForZone(node))
     return source;
-  for (const auto& [zone, holders] : m_sources_by_zone) {
+  for (const auto& [zone, sources] : m_sources_by_zone) {
     source = FindSourceInZone(zone, node);
     if (!source.empty())
       return source;
--- a/modules/coordination/mesh/config_distributor.h
+++ b/modules/coordination/mesh/config_distributor.h
@@ -10,30 +10,31 @@
 
 namespace citrongrade {
 
-// Has the newest configuration pass from node to node, in place of from one
-// place to all: whoever has it is named as a source to others that are behind,
-// each to a few at the same time. The time to reach all grows with the
-// logarithm of their number, and no link carries more than a few transfers.
+// Distributes the newest configuration from node to node instead of from one
+// node to all: every node that has it is assigned as a source to a few others
+// at a time. The time to reach all nodes grows with the logarithm of their
+// number, and no link carries more than a few transfers.
 //
-// How to use it: the leader tells it each heartbeat, and asks for a source
-// before it answers one. A source of the node's own availability zone is
-// preferred, and waited for a little while it is busy. What is not heard of any
-// more, a node, a source or a transfer, is given up after a time.
+// The leader passes each heartbeat to OnHeartbeat() and calls AssignSource()
+// before it replies. Sources in the node's own availability zone are preferred;
+// if all of them are busy, the node waits for one for a short time. Nodes,
+// sources and transfers that are no longer heard of expire.
 //
-// Thread-confined, no input or output. Kin: ConfigTransfer, which fetches.
+// Not thread-safe; does no I/O. See also ConfigTransfer, which fetches the
+// configuration.
 class ConfigDistributor {
  public:
   explicit ConfigDistributor(const Clock& clock);
 
-  // One that was overtaken by a later one of the same process is dropped.
+  // Ignores a heartbeat that arrives after a later one of the same process.
   void OnHeartbeat(const Heartbeat& heartbeat);
 
-  // The newest version that any node has.
+  // The newest version that any node has reported.
   std::uint64_t newest() const { return m_newest; }
 
-  // From whom the node is to fetch it. Empty: it has it, is fetching it, or has
-  // to wait until a source is free.
-  std::string AssignSource(const std::string& node);
+  // Returns from whom the node at `address` is to fetch. Empty if it has the
+  // newest version, is fetching it, or has to wait for a free source.
+  std::string AssignSource(const std::string& address);
 
  private:
   struct Node {
@@ -42,15 +43,15 @@
     std::uint64_t sequence = 0;
     std::uint64_t version = 0;
     Clock::TimePoint last_heartbeat;
-    // Since when it has had this version, or the newest has been another.
+    // When the node's version changed last, or when a newer version appeared.
     Clock::TimePoint behind_since;
     unsigned max_transfers = 0;
-    // Who fetches from it, and when that is given up at the latest.
+    // By receiver's address: when the transfer is given up at the latest.
     std::map<std::string, Clock::TimePoint> outgoing_transfers;
-    // From whom it fetches; empty: from nobody.
+    // The source it fetches from; empty if none.
     std::string source;
     Clock::TimePoint assigned_at;
-    // Whose transfer to it failed last, and when.
+    // The source of the last failed transfer, and when it failed.
     std::string failed_source;
     Clock::TimePoint failed_at;
   };
@@ -63,14 +64,14 @@
   bool HasCapacity(Node& source) const;
   bool IsUsableSource(const std::string& source, const Node& node) const;
   bool ShouldWaitForZone(const Node& node) const;
-  // Empty when nobody there has room.
+  // Empty if no source in the zone is free.
   std::string FindSourceInZone(const std::string& zone, const Node& node);
   std::string FindSource(const Node& node);
 
   const Clock& m_clock;
   std::uint64_t m_newest = 0;
   std::map<std::string, Node> m_nodes;
-  // Who has the newest version, by availability zone.
+  // By availability zone: the nodes that have the newest version.
   std::map<std::string, std::set<std::string>> m_sources_by_zone;
 };
 
--- a/modules/coordination/mesh/election_delay.cc
+++ b/modules/coordination/mesh/election_delay.cc
@@ -13,20 +13,21 @@
 
 using std::chrono::milliseconds;
 
-// Long enough to ask all nodes and be answered over links that are full of
-// requests.
+// Long enough to ask all nodes and receive their answers over links that are
+// saturated with requests.
 constexpr milliseconds kDelayPerRank{150};
-// So many have a turn each; it is unlikely that all of them are lost with the
-// leader, and the others wait together after them.
+// Number of candidates with a delay of their own. It is unlikely that all of
+// them are lost together with the leader; the others share a random delay after
+// them.
 constexpr std::size_t kRankedCandidates = 4;
 constexpr milliseconds kRandomDelayRange{300};
 
 }  // namespace
 
 ElectionDelay::ElectionDelay(const MeshView& view,
-                             const std::string& lost,
+                             const std::string& lost_leader,
                              std::uint64_t epoch)
-    : m_view(view), m_lost_leader(lost), m_epoch(epoch) {}
+    : m_view(view), m_lost_leader(lost_leader), m_epoch(epoch) {}
 
 std::size_t ElectionDelay::TieBreakHash(const std::string& address,
                                         std::uint64_t epoch) {
@@ -35,12 +36,13 @@
 
 milliseconds ElectionDelay::DelayFor(const std::string& self,
                                      std::uint64_t random) const {
-  const std::size_t place = RankOf(self);
-  if (place < kRankedCandidates)
-    return kDelayPerRank * static_cast<int>(place);
-  const auto spread = static_cast<std::uint64_t>(kRandomDelayRange.count());
+  const std::size_t rank = RankOf(self);
+  if (rank < kRankedCandidates)
+    return kDelayPerRank * static_cast<int>(rank);
+  const auto random_range =
+      static_cast<std::uint64_t>(kRandomDelayRange.count());
   return kDelayPerRank * static_cast<int>(kRankedCandidates) +
-         milliseconds(random % spread);
+         milliseconds(random % random_range);
 }
 
 std::size_t ElectionDelay::RankOf(const std::string& self) const {
@@ -55,9 +57,9 @@
   const auto members = m_view.members();
   return static_cast<std::size_t>(std::count_if(
       members.begin(), members.end(), [&](const MeshMember* member) {
-        const bool may_lead = member->address != m_lost_leader &&
-                              member->state != MeshMember::State::kAbsent;
-        return may_lead && key_of(*member) < own_key;
+        const bool is_candidate = member->address != m_lost_leader &&
+                                  member->state != MeshMember::State::kAbsent;
+        return is_candidate && key_of(*member) < own_key;
       }));
 }
 
--- a/modules/coordination/mesh/election_delay.h
+++ b/modules/coordination/mesh/election_delay.h
@@ -9,36 +9,41 @@
 
 class MeshView;
 
-// How long a node that misses its leader waits before it asks for votes.
+// Computes how long a node that has lost its leader waits before it asks for
+// votes.
 //
-// Load pattern: all nodes of a mesh miss their leader within some hundred
-// milliseconds, and each gives its one vote to whoever asks first. Those that
-// ask at once divide the votes, nobody gets half, and the votes are bound for a
-// promise's length: 86 nodes in one window of 200 ms were without a leader for
-// three seconds. So they take turns, in an order that all can tell from the
-// view that they share: fitter hosts first, then by a hash that changes with
-// each leader. A turn is long enough for the one before to ask all and be
-// answered.
+// All nodes of a mesh notice the loss within some hundred milliseconds, and
+// each gives its only vote to the first candidate that asks. Candidates that
+// ask at the same time split the votes: none gets a majority, and the votes
+// stay bound for the length of a promise. With 86 nodes asking within one
+// window of 200 ms, a mesh was without a leader for three seconds.
 //
-// A node without a view, after the loss of all processes, has no turn: it waits
-// by its own fitness, and by its place among the voters.
+// Candidates are therefore ranked, in an order that every node computes from
+// the shared view: by the fitness of the host, then by a hash that changes with
+// each leader. Each rank's delay is long enough for the rank before it to ask
+// all nodes and receive their answers.
+//
+// A node without a view, after the loss of all processes, has no rank. It waits
+// according to its own fitness and its position among the voters; see
+// MeshAgent.
 class ElectionDelay {
  public:
-  // `lost`: mesh address of the leader that is to be replaced, `epoch` its own.
+  // `lost_leader`: mesh address of the leader to be replaced, `epoch`: that
+  // leader's epoch.
   ElectionDelay(const MeshView& view,
-                const std::string& lost,
+                const std::string& lost_leader,
                 std::uint64_t epoch);
 
-  // Whose turn is first among equals: another with each epoch.
+  // Orders equally fit candidates; a different order in each epoch.
   static std::size_t TieBreakHash(const std::string& address,
                                   std::uint64_t epoch);
 
-  // What `self` waits; `random` spreads those who have no turn of their own.
+  // `random` spreads the nodes that have no delay of their own.
   std::chrono::milliseconds DelayFor(const std::string& self,
                                      std::uint64_t random) const;
 
  private:
-  // Present members that go before `self`.
+  // Number of present members that precede `self` in the election order.
   std::size_t RankOf(const std::string& self) const;
 
   const MeshView& m_view;
--- a/modules/coordination/mesh/election_delay_test.cc
+++ b/modules/coordination/mesh/election_delay_test.cc
@@ -27,15 +27,15 @@
   return "10.0.0." + std::to_string(node) + ":7240";
 }
 
-MeshMember Member(std::size_t node, std::uint32_t merit) {
+MeshMember Member(std::size_t node, std::uint32_t fitness) {
   MeshMember member;
   member.address = AddressOf(node);
-  member.leader_fitness_milli = merit;
+  member.leader_fitness_milli = fitness;
   member.state = MeshMember::State::kServing;
   return member;
 }
 
-// Every fifteenth host has half a core, the others a tenth.
+// Every fifteenth host has half a core, the others a tenth of one.
 MeshView LargeMesh() {
   MeshView view;
   view.BeginEpoch(kEpoch);
@@ -46,22 +46,22 @@
 
 }  // namespace
 
-TEST_CASE("the fittest go first, one after the other") {
+TEST_CASE("the fittest candidates go first, one at a time") {
   const MeshView view = LargeMesh();
-  const ElectionDelay turn(view, AddressOf(0), kEpoch);
+  const ElectionDelay election_delay(view, AddressOf(0), kEpoch);
   std::map<milliseconds, std::size_t> delays;
   for (std::size_t node = 1; node < kNodes; ++node)
-    ++delays[turn.DelayFor(AddressOf(node), 7)];
+    ++delays[election_delay.DelayFor(AddressOf(node), 7)];
   CHECK(delays.begin()->first == milliseconds(0));
   CHECK(delays.begin()->second == 1);
   CHECK(std::next(delays.begin())->second == 1);
   for (std::size_t node = 1; node < kNodes; ++node) {
     if (node % 15 != 0)
-      CHECK(turn.DelayFor(AddressOf(node), 7) > milliseconds(0));
+      CHECK(election_delay.DelayFor(AddressOf(node), 7) > milliseconds(0));
   }
 }
 
-TEST_CASE("neither the lost leader nor an absent node has a turn") {
+TEST_CASE("the lost leader and absent nodes have no rank") {
   MeshView view;
   view.BeginEpoch(kEpoch);
   view.SetMember(Member(1, 1000));
@@ -69,38 +69,39 @@
   absent.state = MeshMember::State::kAbsent;
   view.SetMember(absent);
   view.SetMember(Member(3, 100));
-  const ElectionDelay turn(view, AddressOf(1), kEpoch);
-  CHECK(turn.DelayFor(AddressOf(3), 0) == milliseconds(0));
+  const ElectionDelay election_delay(view, AddressOf(1), kEpoch);
+  CHECK(election_delay.DelayFor(AddressOf(3), 0) == milliseconds(0));
 }
 
-TEST_CASE("a node that the view does not name waits for those with a turn") {
+TEST_CASE("a node that is not in the view waits for all ranked nodes") {
   const MeshView view = LargeMesh();
-  const ElectionDelay turn(view, AddressOf(0), kEpoch);
-  CHECK(turn.DelayFor("10.9.9.9:7240", 0) >= milliseconds(600));
+  const ElectionDelay election_delay(view, AddressOf(0), kEpoch);
+  CHECK(election_delay.DelayFor("10.9.9.9:7240", 0) >= milliseconds(600));
 }
 
-// Callers are refused for as long as no leader is found. All nodes miss it
-// within a heartbeat, and requests for votes take up to 80 ms over full links.
-// Whoever asks a voter first has its vote, for longer than the election.
+// Guards against split votes, which leave the mesh without a leader and refuse
+// callers meanwhile. All nodes miss the leader within one heartbeat, vote
+// requests take up to 80 ms over saturated links, and a voter binds its vote to
+// the first candidate that asks for longer than the election takes.
 TEST_CASE("one election in a large mesh finds a leader") {
   constexpr int kElections = 200;
   std::mt19937_64 random(3);
   const MeshView view = LargeMesh();
-  const ElectionDelay turn(view, AddressOf(0), kEpoch);
+  const ElectionDelay election_delay(view, AddressOf(0), kEpoch);
   int decided = 0;
   for (int election = 0; election < kElections; ++election) {
     std::vector<std::pair<milliseconds, std::size_t>> starts;
     for (std::size_t node = 1; node < kNodes; ++node) {
       const milliseconds missed(random() % 60);
-      starts.emplace_back(missed + turn.DelayFor(AddressOf(node), random()),
-                          node);
+      starts.emplace_back(
+          missed + election_delay.DelayFor(AddressOf(node), random()), node);
     }
     std::map<std::size_t, std::size_t> votes;
     for (std::size_t voter = 1; voter < kNodes; ++voter) {
       std::pair<milliseconds, std::size_t> first{milliseconds::max(), 0};
       for (const auto& [start, candidate] : starts) {
-        const milliseconds way(voter == candidate ? 0 : 5 + random() % 75);
-        first = std::min(first, {start + way, candidate});
+        const milliseconds transit(voter == candidate ? 0 : 5 + random() % 75);
+        first = std::min(first, {start + transit, candidate});
       }
       ++votes[first.second];
     }
--- a/modules/coordination/mesh/heartbeat.h
+++ b/modules/coordination/mesh/heartbeat.h
@@ -11,15 +11,16 @@
 
 namespace citrongrade {
 
-// What a node tells the leader: that it lives, what its target is and did.
+// A node's periodic report to the leader: its liveness, the state of its
+// target, and what the target has released and received.
 struct Heartbeat {
   enum class TargetState : std::uint8_t {
-    // This process has not heard of its target yet: the target may be alive and
-    // still hold keys that an earlier process granted.
+    // This process has not heard from its target yet. The target may be running
+    // and still hold keys granted by an earlier process of the node.
     kUnknown,
     kServing,
     kDraining,
-    // It is gone, or has no hold left.
+    // The target is gone, or holds no keys any more.
     kGone,
   };
 
@@ -28,18 +29,18 @@
     TargetIncarnation incarnation;
     std::string service;
     std::uint32_t concurrency = 0;
-    // How much longer it says to be slow after its start.
+    // How much longer the target reports to be slow after its start.
     std::uint32_t warm_up_left_ms = 0;
 
     friend auto operator<=>(const Target&, const Target&) = default;
   };
 
-  // Keys that the target gave back, by order of the leader.
+  // Keys that the target has released at the leader's order.
   struct ReleasedRange {
     std::string service;
     SlotRange range;
     std::uint64_t fence = 0;
-    // For the next holder; empty when the hold ran out instead.
+    // Passed to the next holder; empty if the hold expired instead.
     std::string handover;
 
     friend auto operator<=>(const ReleasedRange&,
@@ -57,41 +58,43 @@
   std::string address;
   std::string data_address;
   std::string zone;
-  // How fit its host is for the work of a leader, in thousandths.
+  // Fitness of the host to run the leader, in thousandths.
   static constexpr std::uint32_t kMaxLeaderFitnessMilli = 1000;
   std::uint32_t leader_fitness_milli = 0;
-  // Drawn at the start of the process.
+  // Random number chosen when the process starts.
   std::uint64_t incarnation = 0;
-  // Grows with each heartbeat of the process: a late one is known by it.
+  // Increases with each heartbeat of the process, to detect delayed heartbeats.
   std::uint64_t sequence = 0;
-  // The node's vote is the leader's for MeshTiming::promise from now on.
+  // The node's vote is promised to the leader for MeshTiming::promise from now
+  // on.
   bool is_vote_promised = false;
-  // Of the leader's last reply, by which it knows how old the promise is.
+  // Copied from the leader's last reply, so that the leader can tell how old
+  // the promise is.
   std::uint64_t leader_nonce = 0;
   std::int64_t leader_stamp_ns = 0;
-  // What the node knows already.
+  // Versions that the node has.
   std::uint64_t epoch = 0;
   std::uint64_t view_version = 0;
   std::uint64_t config_version = 0;
-  // For so long it has not been known that no newer one is in force.
+  // Time since it was last known that no newer configuration is in force.
   std::uint32_t config_age_ms = 0;
-  // The node was told to stop.
+  // The node has been told to shut down.
   bool is_leaving = false;
-  // The configuration is being fetched from the source named last, or could not
-  // be.
+  // Whether the configuration is being fetched from the source assigned last,
+  // and whether the last fetch failed.
   bool is_fetching_config = false;
   bool config_fetch_failed = false;
-  // Its last call to the platform's store was answered.
+  // The last call to the platform's store was answered.
   bool is_store_answering = false;
-  // To be answered at once: it brings news.
+  // Carries news and has to be answered at once, not at the end of the poll.
   bool is_urgent = false;
   Target target;
   std::vector<ReleasedRange> released;
-  // Requests that came for its slots since the last heartbeat.
+  // Requests received for the node's slots since the last heartbeat.
   std::vector<SlotRequestCount> slot_request_counts;
-  // Mean time that the target takes for a request; 0 when not known.
+  // Mean time that the target takes for a request; 0 if unknown.
   std::uint32_t mean_service_time_us = 0;
-  // Marks of requests that were running when the target crashed.
+  // Fingerprints of the requests that were running when the target crashed.
   std::vector<std::uint64_t> crash_suspects;
 
   friend auto operator<=>(const Heartbeat&, const Heartbeat&) = default;
--- a/modules/coordination/mesh/heartbeat_reply.h
+++ b/modules/coordination/mesh/heartbeat_reply.h
@@ -9,33 +9,35 @@
 
 namespace citrongrade {
 
-// The leader's answer to a heartbeat.
+// A node's reply to a heartbeat, normally the leader's.
 struct HeartbeatReply {
-  // False: the one asked does not lead, and the rest says nothing but who may.
+  // False: the replying node does not lead, and only the fields about the
+  // leader are valid.
   bool is_leader = false;
-  // It started a short while ago: whoever led from its address before is gone.
+  // The replying process started a short time ago: a leader that ran at its
+  // address before is gone.
   bool is_new_process = false;
-  // Whom to ask instead; empty when not known.
+  // Node to ask instead; empty if unknown.
   std::string leader_hint;
-  // The leader gave up; votes promised to it are free again.
+  // The leader has resigned; votes promised to it are free again.
   bool has_resigned = false;
   std::uint64_t nonce = 0;
   std::int64_t stamp_ns = 0;
-  // Counts from when the heartbeat was sent; 0: no lease.
+  // Counted from when the heartbeat was sent; 0: no lease.
   std::uint32_t lease_ms = 0;
-  // Any lease that may be in force, of this node's earlier processes as well,
-  // lasts at most so long.
+  // Upper bound of the length of every lease that may be in force, including
+  // those of earlier processes of this node.
   std::uint32_t max_lease_ms = 0;
-  // The node is to follow the operators' configuration in the store as well,
-  // in case the leader can't.
+  // The node also reads the operators' configuration from the store, in case
+  // the leader can't.
   bool reads_store = false;
   ViewDelta view;
   std::vector<std::uint64_t> crash_suspects;
-  // The newest that any node has.
+  // The newest version that any node has.
   std::uint64_t config_version = 0;
-  // For so long it has not been known that no newer one is in force.
+  // Time since it was last known that no newer version is in force.
   std::uint32_t config_age_ms = 0;
-  // The node from which to fetch it; empty: from nobody yet.
+  // Node to fetch the configuration from; empty: none assigned yet.
   std::string config_source;
 
   friend auto operator<=>(const HeartbeatReply&,
--- a/modules/coordination/mesh/key_assigner.cc
+++ b/modules/coordination/mesh/key_assigner.cc
@@ -14,31 +14,31 @@
 
 namespace {
 
-// Part of a rate that one round of counting replaces.
+// Part of a slot's request rate that one round replaces.
 constexpr auto kRateSmoothing =
     static_cast<float>(KeyBalancer::kShortTermSmoothing);
-// Weight of a slot without arrivals, as part of the mean of all.
+// Weight of a slot without requests, relative to the mean of all slots.
 constexpr double kIdleWeight = 0.1;
-// A fence holds the leader's epoch above a count of its grants.
+// A fencing token consists of the leader's epoch above a counter of its grants.
 constexpr unsigned kFenceCounterBits = 24;
 
-// The run in the hands of `owner`; in nobody's when that is not set.
-SlotAssignment WithOwner(SlotAssignment run, const NextOwner& owner) {
-  run.owner = owner.address;
-  run.incarnation = owner.incarnation;
+// Copy of the assignment with the owner `owner`; unowned if that is not set.
+SlotAssignment WithOwner(SlotAssignment assignment, const NextOwner& owner) {
+  assignment.owner = owner.address;
+  assignment.incarnation = owner.incarnation;
   if (owner.is_set())
-    run.fence = owner.fence;
-  run.next = {};
-  return run;
+    assignment.fence = owner.fence;
+  assignment.next = {};
+  return assignment;
 }
 
-// Copies: what is done with them changes the table.
-template <typename Runs, typename Predicate>
-std::vector<SlotAssignment> CopyMatching(const Runs& runs,
+// Returns copies, as callers modify the table while they iterate.
+template <typename Assignments, typename Predicate>
+std::vector<SlotAssignment> CopyMatching(const Assignments& assignments,
                                          Predicate is_wanted) {
   std::vector<SlotAssignment> selected;
-  std::copy_if(runs.begin(), runs.end(), std::back_inserter(selected),
-               is_wanted);
+  std::copy_if(assignments.begin(), assignments.end(),
+               std::back_inserter(selected), is_wanted);
   return selected;
 }
 
@@ -67,12 +67,12 @@
 
 void KeyAssigner::AddRequestCounts(
     const std::string& service,
-    const std::vector<Heartbeat::SlotRequestCount>& arrivals) {
-  if (arrivals.empty())
+    const std::vector<Heartbeat::SlotRequestCount>& request_counts) {
+  if (request_counts.empty())
     return;
   std::vector<float>& counts = m_counts[service];
   counts.resize(kSlotCount, 0);
-  for (const Heartbeat::SlotRequestCount& slot : arrivals) {
+  for (const Heartbeat::SlotRequestCount& slot : request_counts) {
     if (slot.slot < kSlotCount)
       counts[slot.slot] += static_cast<float>(slot.count);
   }
@@ -82,9 +82,10 @@
   for (auto& [service, counts] : m_counts) {
     std::vector<float>& rates = m_rates[service];
     if (rates.empty()) {
-      // All slots are taken for alike until the rounds tell them apart.
-      const double all = std::accumulate(counts.begin(), counts.end(), 0.0);
-      rates.assign(kSlotCount, static_cast<float>(all / kSlotCount / seconds));
+      // Assume equal rates until later rounds tell the slots apart.
+      const double total = std::accumulate(counts.begin(), counts.end(), 0.0);
+      rates.assign(kSlotCount,
+                   static_cast<float>(total / kSlotCount / seconds));
     }
     for (std::uint32_t slot = 0; slot < kSlotCount; ++slot) {
       const auto rate = static_cast<float>(counts[slot] / seconds);
@@ -97,41 +98,44 @@
 void KeyAssigner::UnassignLostOwners(
     const std::function<bool(const SlotAssignment&)>& is_lost) {
   for (const auto& [service, table] : m_tables) {
-    const auto is_next_lost = [&](const SlotAssignment& run) {
-      return run.is_moving() && is_lost(WithOwner(run, run.next));
+    const auto is_next_lost = [&](const SlotAssignment& assignment) {
+      return assignment.is_moving() &&
+             is_lost(WithOwner(assignment, assignment.next));
     };
     ReplaceNextOwners(service, CopyMatching(table.assignments(), is_next_lost));
-    const auto is_owner_lost = [&](const SlotAssignment& run) {
-      return run.has_owner() && is_lost(run);
+    const auto is_owner_lost = [&](const SlotAssignment& assignment) {
+      return assignment.has_owner() && is_lost(assignment);
     };
-    for (const SlotAssignment& run :
+    for (const SlotAssignment& assignment :
          CopyMatching(table.assignments(), is_owner_lost))
-      CompleteRelease(service, run, {});
+      CompleteRelease(service, assignment, {});
   }
 }
 
-void KeyAssigner::ReplaceNextOwners(const std::string& service,
-                                    const std::vector<SlotAssignment>& runs) {
-  if (runs.empty())
+void KeyAssigner::ReplaceNextOwners(
+    const std::string& service,
+    const std::vector<SlotAssignment>& assignments) {
+  if (assignments.empty())
     return;
   std::optional<Placement> placement = MakePlacement(service);
   if (!placement)
     return;
-  for (const SlotAssignment& run : runs)
-    PlanMove(service, run, run.range, placement->Take(run.range));
+  for (const SlotAssignment& assignment : assignments)
+    PlanMove(service, assignment, assignment.range,
+             placement->Take(assignment.range));
 }
 
 void KeyAssigner::CompleteRelease(const std::string& service,
-                                  SlotAssignment run,
+                                  SlotAssignment assignment,
                                   const std::string& handover) {
-  // The next owner gets them also while it leaves: a leader before may have
-  // given them to it already, and nobody else may have them then.
-  const bool was_moving = run.is_moving();
-  run = WithOwner(run, run.next);
-  run.handover = handover;
-  RecordChange(service, run);
+  // The next owner gets the keys even if it is leaving: a previous leader may
+  // already have assigned them to it, and then nobody else may have them.
+  const bool was_moving = assignment.is_moving();
+  assignment = WithOwner(assignment, assignment.next);
+  assignment.handover = handover;
+  RecordChange(service, assignment);
   if (was_moving)
-    m_completed_moves.push_back({service, run});
+    m_completed_moves.push_back({service, assignment});
 }
 
 void KeyAssigner::AssignUnowned() {
@@ -145,25 +149,25 @@
       AssignAllSlots(service, placement->receivers);
       continue;
     }
-    const auto is_unowned = [](const SlotAssignment& run) {
-      return !run.has_owner();
+    const auto is_unowned = [](const SlotAssignment& assignment) {
+      return !assignment.has_owner();
     };
-    for (const SlotAssignment& run :
+    for (const SlotAssignment& assignment :
          CopyMatching(table.assignments(), is_unowned))
-      AssignInPieces(service, run, *placement);
+      AssignInPieces(service, assignment, *placement);
   }
 }
 
 void KeyAssigner::AssignAllSlots(const std::string& service,
                                  const std::vector<const Member*>& receivers) {
-  double all = 0;
+  double total = 0;
   for (const Member* member : receivers)
-    all += member->capacity;
+    total += member->capacity;
   double given = 0;
   std::uint32_t next = 0;
   for (const Member* member : receivers) {
     given += member->capacity;
-    auto end = static_cast<std::uint32_t>(given / all * kSlotCount);
+    auto end = static_cast<std::uint32_t>(given / total * kSlotCount);
     if (member == receivers.back())
       end = kSlotCount;
     if (end > next)
@@ -173,49 +177,51 @@
 }
 
 void KeyAssigner::AssignInPieces(const std::string& service,
-                                 const SlotAssignment& run,
+                                 const SlotAssignment& assignment,
                                  Placement& placement) {
-  SlotRange rest = run.range;
+  SlotRange rest = assignment.range;
   while (rest.first <= rest.last) {
-    // What one holder gave back goes on together: its handover is for all.
-    const SlotRange piece =
-        run.handover.empty() ? placement.placement.FirstPiece(rest) : rest;
-    AssignRange(service, piece, placement.Take(piece), run.handover);
+    // A range that was released as a whole moves on as a whole, as its handover
+    // covers all of it.
+    const SlotRange piece = assignment.handover.empty()
+                                ? placement.placement.FirstPiece(rest)
+                                : rest;
+    AssignRange(service, piece, placement.Take(piece), assignment.handover);
     rest.first = piece.last + 1;
   }
 }
 
 void KeyAssigner::PlanDrains() {
-  std::set<std::string_view> givers;
+  std::set<std::string_view> drained;
   for (const Member& member : m_members) {
     if (member.must_drain)
-      givers.insert(member.address);
+      drained.insert(member.address);
   }
-  if (givers.empty())
+  if (drained.empty())
     return;
-  const auto must_go = [&givers](const SlotAssignment& run) {
-    return !run.is_moving() && givers.contains(run.owner);
+  const auto must_move = [&drained](const SlotAssignment& assignment) {
+    return !assignment.is_moving() && drained.contains(assignment.owner);
   };
   for (const auto& [service, table] : m_tables) {
-    const std::vector<SlotAssignment> runs =
-        CopyMatching(table.assignments(), must_go);
-    if (runs.empty())
+    const std::vector<SlotAssignment> assignments =
+        CopyMatching(table.assignments(), must_move);
+    if (assignments.empty())
       continue;
     std::optional<Placement> placement = MakePlacement(service);
     if (!placement)
       continue;
-    for (const SlotAssignment& run : runs)
-      PlanDrain(service, run, *placement);
+    for (const SlotAssignment& assignment : assignments)
+      PlanDrain(service, assignment, *placement);
   }
 }
 
 void KeyAssigner::PlanDrain(const std::string& service,
-                            const SlotAssignment& run,
+                            const SlotAssignment& assignment,
                             Placement& placement) {
-  SlotRange rest = run.range;
+  SlotRange rest = assignment.range;
   while (rest.first <= rest.last) {
     const SlotRange piece = placement.placement.FirstPiece(rest);
-    PlanMove(service, run, piece, placement.Take(piece));
+    PlanMove(service, assignment, piece, placement.Take(piece));
     rest.first = piece.last + 1;
   }
 }
@@ -244,12 +250,13 @@
       const Member* receiver = FindReceiver(service, move.to);
       if (receiver == nullptr)
         continue;
-      const auto is_givers = [&move](const SlotAssignment& run) {
-        return run.owner == move.from && !run.is_moving();
+      const auto is_of_giver = [&move](const SlotAssignment& assignment) {
+        return assignment.owner == move.from && !assignment.is_moving();
       };
-      for (const SlotAssignment& run :
-           CopyMatching(table.AssignmentsIn(move.range), is_givers))
-        PlanMove(service, run, run.range.CommonPart(move.range), *receiver);
+      for (const SlotAssignment& assignment :
+           CopyMatching(table.AssignmentsIn(move.range), is_of_giver))
+        PlanMove(service, assignment, assignment.range.CommonPart(move.range),
+                 *receiver);
     }
   }
 }
@@ -260,16 +267,16 @@
   if (found == m_tables.end() || released.range.last >= kSlotCount ||
       released.range.first > released.range.last)
     return;
-  const auto is_meant = [&](const SlotAssignment& run) {
-    return run.owner == from && run.fence == released.fence;
+  const auto is_released = [&](const SlotAssignment& assignment) {
+    return assignment.owner == from && assignment.fence == released.fence;
   };
-  const std::vector<SlotAssignment> runs =
-      CopyMatching(found->second.AssignmentsIn(released.range), is_meant);
-  for (SlotAssignment run : runs) {
-    run.range = run.range.CommonPart(released.range);
-    CompleteRelease(released.service, run, released.handover);
+  const std::vector<SlotAssignment> assignments =
+      CopyMatching(found->second.AssignmentsIn(released.range), is_released);
+  for (SlotAssignment assignment : assignments) {
+    assignment.range = assignment.range.CommonPart(released.range);
+    CompleteRelease(released.service, assignment, released.handover);
   }
-  if (!runs.empty())
+  if (!assignments.empty())
     AssignUnowned();
 }
 
@@ -336,18 +343,18 @@
 
 KeyTable KeyAssigner::PlannedTable(const std::string& service) const {
   KeyTable planned = m_tables.at(service);
-  for (const SlotAssignment& run : m_tables.at(service).assignments()) {
-    if (run.is_moving())
-      planned.Assign(WithOwner(run, run.next));
+  for (const SlotAssignment& assignment : m_tables.at(service).assignments()) {
+    if (assignment.is_moving())
+      planned.Assign(WithOwner(assignment, assignment.next));
   }
   return planned;
 }
 
 void KeyAssigner::PlanMove(const std::string& service,
-                           const SlotAssignment& run,
+                           const SlotAssignment& assignment,
                            SlotRange range,
                            const Member& to) {
-  SlotAssignment moving = run;
+  SlotAssignment moving = assignment;
   moving.range = range;
   moving.next = {to.address, to.incarnation, NewFence()};
   m_tables[service].Assign(moving);
@@ -362,20 +369,20 @@
                               SlotRange range,
                               const Member& receiver,
                               const std::string& handover) {
-  SlotAssignment run;
-  run.range = range;
-  run.owner = receiver.address;
-  run.incarnation = receiver.incarnation;
-  run.fence = NewFence();
-  run.handover = handover;
-  RecordChange(service, run);
+  SlotAssignment assignment;
+  assignment.range = range;
+  assignment.owner = receiver.address;
+  assignment.incarnation = receiver.incarnation;
+  assignment.fence = NewFence();
+  assignment.handover = handover;
+  RecordChange(service, assignment);
 }
 
 void KeyAssigner::RecordChange(const std::string& service,
-                               const SlotAssignment& run) {
-  m_tables[service].Assign(run);
-  m_changes.push_back({service, run});
-  SlotAssignment withdrawn = run;
+                               const SlotAssignment& assignment) {
+  m_tables[service].Assign(assignment);
+  m_changes.push_back({service, assignment});
+  SlotAssignment withdrawn = assignment;
   withdrawn.owner.clear();
   withdrawn.incarnation = {};
   m_withdrawals.push_back({service, withdrawn});
--- a/modules/coordination/mesh/key_assigner.h
+++ b/modules/coordination/mesh/key_assigner.h
@@ -14,17 +14,18 @@
 
 namespace citrongrade {
 
-// The leader's plan of who owns which keys: it gives out what nobody owns, has
-// the targets that leave or are too busy give keys back, and hands these on.
+// The leader's assignment of keys to targets: assigns keys without an owner,
+// plans moves away from targets that leave or are overloaded, and passes
+// released keys on.
 //
-// How to use it: SetMembers() and then the steps, every tick; what changed is
-// in TakeChanges(), to be stored before it is published. Keys that are to move
-// stay with their owner and name the next one, until OnReleased() or until the
-// owner is lost.
+// In every tick call SetMembers() and then the step functions. TakeChanges()
+// returns what changed; it has to be stored before it is published. Keys that
+// are to move stay with their owner, with the next owner recorded, until
+// OnReleased() is called or the owner is lost.
 //
-// What it decides takes effect nowhere by itself. Thread-confined. Kin:
-// MeshLeader, which knows who is alive; KeyPlacement, which says who gets keys;
-// KeyBalancer, which says what to move.
+// Only plans: nothing takes effect by itself. Not thread-safe. See also
+// MeshLeader, which knows which nodes are alive; KeyPlacement, which selects
+// receivers; KeyBalancer, which selects the keys to move.
 class KeyAssigner {
  public:
   struct Member {
@@ -33,7 +34,7 @@
     TargetIncarnation incarnation;
     bool may_receive = false;
     bool must_drain = false;
-    // Requests a second.
+    // Requests per second.
     double capacity = 1;
 
     friend auto operator<=>(const Member&, const Member&) = default;
@@ -46,17 +47,17 @@
     friend auto operator<=>(const Change&, const Change&) = default;
   };
 
-  // `tables`: as stored by the leader before.
+  // `tables`: as stored by the previous leader.
   KeyAssigner(std::uint64_t epoch, std::map<std::string, KeyTable> tables);
 
   void SetMembers(std::vector<Member> members);
-  // A divided service whose keys are to be given out.
+  // Adds a service whose keys are sharded between targets.
   void AddService(const std::string& service);
 
   void AddRequestCounts(
       const std::string& service,
-      const std::vector<Heartbeat::SlotRequestCount>& arrivals);
-  // Closes a round of counting that lasted `seconds`.
+      const std::vector<Heartbeat::SlotRequestCount>& request_counts);
+  // Ends a round of request counting that lasted `seconds`.
   void EndMeasurementRound(double seconds);
 
   // Steps of a tick.
@@ -66,59 +67,63 @@
   void PlanDrains();
   void PlanRebalancing();
 
-  // Once more for keys that it gave back already changes nothing.
+  // Reporting keys again that were already released has no effect.
   void OnReleased(const std::string& from,
                   const Heartbeat::ReleasedRange& released);
 
   std::vector<Change> TakeChanges();
-  // What its owner loses by the changes: to be published at once, before they
-  // are stored. Otherwise an owner that was taken for lost could come back and
-  // get a lease for keys that a stored change is about to give to another.
+  // Assignments that owners lose by the changes; publish them at once, before
+  // they are stored. Otherwise an owner that was considered lost could come
+  // back and get a lease for keys that a stored change is about to assign to
+  // another.
   std::vector<Change> TakeWithdrawals();
-  // Changes by which keys went to the next owner that their run had named. What
-  // was stored with that name needs no storing before it is published.
+  // Changes by which keys passed to the next owner that their assignment named.
+  // If that assignment has been stored, the change may be published without
+  // storing it first.
   std::vector<Change> TakeCompletedMoves();
   std::size_t change_count() const { return m_changes.size(); }
   const std::map<std::string, KeyTable>& tables() const { return m_tables; }
 
  private:
-  // Members that may get keys of a service, and which of them gets the next.
+  // Members that may receive keys of a service, with the selection of the next
+  // receiver.
   struct Placement;
 
   std::vector<const Member*> ReceiversOf(const std::string& service) const;
   const Member* FindReceiver(const std::string& service,
                              const std::string& address) const;
-  // Arrivals by slot, with a little added to each: keys without any load now
-  // are spread as well.
+  // Request rate of each slot, plus a small constant so that slots without
+  // current load are spread as well.
   std::vector<float> SlotWeights(const std::string& service) const;
-  // Nothing when nobody may get keys of the service.
+  // Nothing if no member may receive keys of the service.
   std::optional<Placement> MakePlacement(const std::string& service) const;
   KeyTable PlannedTable(const std::string& service) const;
   void AssignAllSlots(const std::string& service,
                       const std::vector<const Member*>& receivers);
   void AssignInPieces(const std::string& service,
-                      const SlotAssignment& run,
+                      const SlotAssignment& assignment,
                       Placement& placement);
   void PlanDrain(const std::string& service,
-                 const SlotAssignment& run,
+                 const SlotAssignment& assignment,
                  Placement& placement);
   void PlanMove(const std::string& service,
-                const SlotAssignment& run,
+                const SlotAssignment& assignment,
                 SlotRange range,
                 const Member& to);
-  // The owner of this part has it no longer.
+  // The owner no longer holds these slots; the next owner, if any, gets them.
   void CompleteRelease(const std::string& service,
-                       SlotAssignment run,
+                       SlotAssignment assignment,
                        const std::string& handover);
-  // The next owners of keys that still are to move are lost.
+  // Replaces next owners that were lost before their keys had moved.
   void ReplaceNextOwners(const std::string& service,
-                         const std::vector<SlotAssignment>& runs);
+                         const std::vector<SlotAssignment>& assignments);
   std::uint64_t NewFence();
   void AssignRange(const std::string& service,
                    SlotRange range,
                    const Member& receiver,
                    const std::string& handover);
-  void RecordChange(const std::string& service, const SlotAssignment& run);
+  void RecordChange(const std::string& service,
+                    const SlotAssignment& assignment);
 
   const std::uint64_t m_epoch;
   std::uint64_t m_fence_counter = 0;
@@ -127,7 +132,7 @@
   std::vector<Change> m_changes;
   std::vector<Change> m_withdrawals;
   std::vector<Change> m_completed_moves;
-  // By service and slot: requests in this round, and a second.
+  // By service and slot: requests in the current round, and per second.
   std::map<std::string, std::vector<float>> m_counts;
   std::map<std::string, std::vector<float>> m_rates;
   std::map<std::string, KeyBalancer> m_balancers;
--- a/modules/coordination/mesh/key_balancer.cc
+++ b/modules/coordination/mesh/key_balancer.cc
@@ -10,32 +10,36 @@
 
 namespace {
 
-// A slot with this part of what a target has too much is hot: it goes by
-// itself. Of even load a slot has a thousandth.
+// A slot is hot and moves by itself if it has at least this part of its
+// target's excess load. With even load a slot has a thousandth.
 constexpr double kHotShare = 0.2;
-// And it takes this part of what a target can do: moved for less, popular keys
-// wander for ever and cut the table into single slots.
+// A hot slot also takes at least this part of its target's capacity: moved for
+// less, popular keys would move forever and split the table into single slots.
 constexpr double kHotUtilization = 0.05;
-// And so many requests came for it lately: fewer may be chance.
+// A hot slot also received at least this many requests recently; fewer may be
+// random.
 constexpr double kHotRequests = 3;
-// A move may take this much more than wanted: one slot can't be divided.
+// A move may exceed the wanted load by this factor, because a slot can't be
+// divided.
 constexpr double kOvershoot = 1.5;
-// A taker may become as busy as this part of what the giver was.
+// Upper bound of the taker's utilization after a move, relative to the giver's.
 constexpr double kMaxTakerUtilization = 0.85;
-// Less than this part of a target's work is not worth a move.
+// Smaller parts of a target's load are not worth a move.
 constexpr double kMinMoveShare = 0.04;
-// Part of a lasting rate that one round makes: a mean of three seconds or so.
+// Weight of one round in a long-term rate, which makes it an average of about
+// three seconds.
 constexpr float kLongTermSmoothing = 0.08F;
-// A target's load is another one now when it differs by so many deviations. One
-// of hundreds does by chance once in a minute or so.
+// A target's load has shifted if it differs by this many standard deviations.
+// Of hundreds of targets, one does so by chance about once a minute.
 constexpr double kShiftDeviations = 4;
-// Its rates are then those of the last second, for so many rounds.
+// For this many rounds its rates then count as those of the last second.
 constexpr std::uint32_t kResetRounds = 12;
-// Moves for balance are for differences of so many deviations; for fewer where
-// the load has just changed, as a hot spell lasts for a few seconds.
+// An imbalance of this many standard deviations causes moves; a smaller one
+// suffices after a load shift, as a hot spell lasts for a few seconds only.
 constexpr double kImbalanceDeviations = 2.5;
 constexpr double kShiftedImbalanceDeviations = 1.5;
-// A slot that no target can serve moves to one that serves so much more of it.
+// A slot that no target can serve moves only to a target that is faster by this
+// factor.
 constexpr double kMinSpeedup = 1.5;
 
 constexpr double kRoundSeconds =
@@ -64,17 +68,17 @@
 }
 
 bool KeyBalancer::IsInCooldown(std::uint32_t slot) const {
-  const std::uint32_t rest = IsTooHot(slot)
-                                 ? m_parameters.too_hot_cooldown_rounds
-                                 : m_parameters.cooldown_rounds;
+  const std::uint32_t cooldown = IsTooHot(slot)
+                                     ? m_parameters.too_hot_cooldown_rounds
+                                     : m_parameters.cooldown_rounds;
   return m_last_moved_round[slot] != 0 &&
-         m_round - m_last_moved_round[slot] < rest;
+         m_round - m_last_moved_round[slot] < cooldown;
 }
 
 void KeyBalancer::UpdateLongTermRates(const std::vector<float>& arrivals) {
-  const double all = std::accumulate(arrivals.begin(), arrivals.end(), 0.0);
-  m_mean_rate = all / kSlotCount;
-  // All slots are taken for alike until the rounds tell them apart.
+  const double total = std::accumulate(arrivals.begin(), arrivals.end(), 0.0);
+  m_mean_rate = total / kSlotCount;
+  // Assume equal rates until later rounds tell the slots apart.
   if (m_round++ == 0)
     m_long_term_rates.assign(kSlotCount, static_cast<float>(m_mean_rate));
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot)
@@ -82,25 +86,26 @@
         kLongTermSmoothing * (arrivals[slot] - m_long_term_rates[slot]);
 }
 
-double KeyBalancer::SmoothingFactor(bool has_changed) const {
-  return has_changed ? kShortTermSmoothing : kLongTermSmoothing;
+double KeyBalancer::SmoothingFactor(bool has_load_shift) const {
+  return has_load_shift ? kShortTermSmoothing : kLongTermSmoothing;
 }
 
-double KeyBalancer::StandardDeviation(double arrivals, bool has_changed) const {
-  const double newest = SmoothingFactor(has_changed);
-  // It grows from nothing, as all slots begin alike.
-  const double grown = 1 - std::pow(1 - newest, 2.0 * m_round);
-  const double rounds = (2 - newest) / newest / grown;
+double KeyBalancer::StandardDeviation(double arrivals,
+                                      bool has_load_shift) const {
+  const double smoothing = SmoothingFactor(has_load_shift);
+  // The deviation grows from zero, as all slots begin with the same rate.
+  const double warm_up = 1 - std::pow(1 - smoothing, 2.0 * m_round);
+  const double rounds = (2 - smoothing) / smoothing / warm_up;
   return std::sqrt(arrivals / (rounds * kRoundSeconds));
 }
 
 void KeyBalancer::ResetShiftedRates(const std::vector<TargetLoad>& loads,
                                     const std::vector<float>& arrivals) {
   for (const TargetLoad& load : loads) {
-    const double lately = SumOf(arrivals, load.ranges);
-    const double lasting = SumOf(m_long_term_rates, load.ranges);
-    if (std::abs(lately - lasting) <=
-        kShiftDeviations * StandardDeviation(lasting, true))
+    const double recent = SumOf(arrivals, load.ranges);
+    const double long_term = SumOf(m_long_term_rates, load.ranges);
+    if (std::abs(recent - long_term) <=
+        kShiftDeviations * StandardDeviation(long_term, true))
       continue;
     for (const SlotRange& range : load.ranges) {
       for (std::uint32_t slot = range.first; slot <= range.last; ++slot) {
@@ -112,17 +117,17 @@
 }
 
 void KeyBalancer::NormalizeRates(const std::vector<float>& arrivals) {
-  double lately = 0;
-  double lasting = 0;
+  double recent = 0;
+  double long_term = 0;
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot) {
     if (m_last_reset_round[slot] == m_round)
       continue;
-    lately += arrivals[slot];
-    lasting += m_long_term_rates[slot];
+    recent += arrivals[slot];
+    long_term += m_long_term_rates[slot];
   }
-  if (lasting <= 0)
+  if (long_term <= 0)
     return;
-  const auto factor = static_cast<float>(lately / lasting);
+  const auto factor = static_cast<float>(recent / long_term);
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot)
     m_long_term_rates[slot] *= m_last_reset_round[slot] == m_round ? 1 : factor;
 }
@@ -130,17 +135,17 @@
 void KeyBalancer::ComputeLoads(std::vector<TargetLoad>& loads) {
   m_max_capacity = 0;
   for (TargetLoad& load : loads) {
-    double adopted = 0;
+    double reset_rate = 0;
     for (const SlotRange& range : load.ranges) {
       for (std::uint32_t slot = range.first; slot <= range.last; ++slot) {
-        const bool is_adopted =
+        const bool was_reset =
             m_last_reset_round[slot] != 0 &&
             m_round - m_last_reset_round[slot] < kResetRounds;
         load.arrivals += m_long_term_rates[slot];
-        adopted += is_adopted ? m_long_term_rates[slot] : 0;
+        reset_rate += was_reset ? m_long_term_rates[slot] : 0;
       }
     }
-    load.has_load_shift = adopted > load.arrivals / 2;
+    load.has_load_shift = reset_rate > load.arrivals / 2;
     m_max_capacity = std::max(m_max_capacity, load.target.capacity);
   }
 }
@@ -176,72 +181,72 @@
       giver.utilization() > m_parameters.busy_utilization &&
       giver.utilization() > mean * m_parameters.imbalance_factor &&
       is_beyond_chance(giver);
-  const bool is_taker_empty =
+  const bool is_taker_underused =
       taker.utilization() < m_parameters.underused_share * mean &&
       is_beyond_chance(taker);
-  return needs_relief || (is_taker_empty && giver.utilization() > mean);
+  return needs_relief || (is_taker_underused && giver.utilization() > mean);
 }
 
-double KeyBalancer::MinHotRate(bool has_changed) const {
+double KeyBalancer::MinHotRate(bool has_load_shift) const {
   const double beyond_chance =
       m_mean_rate +
-      kShiftDeviations * StandardDeviation(m_mean_rate, has_changed);
-  const double requests = kHotRequests * SmoothingFactor(has_changed);
+      kShiftDeviations * StandardDeviation(m_mean_rate, has_load_shift);
+  const double requests = kHotRequests * SmoothingFactor(has_load_shift);
   return std::max(requests / kRoundSeconds, beyond_chance);
 }
 
 KeyBalancer::MoveLimits KeyBalancer::LimitsFor(const TargetLoad& giver,
                                                const TargetLoad& taker,
                                                double mean) const {
-  const double over = giver.arrivals - mean * giver.target.capacity;
-  const double room = mean * taker.target.capacity - taker.arrivals;
-  MoveLimits wanted;
-  wanted.even_load = std::min(over, room);
-  if (wanted.even_load < kMinMoveShare * giver.arrivals &&
-      wanted.even_load < kMinMoveShare * giver.target.capacity)
-    wanted.even_load = 0;
-  wanted.hot_threshold =
-      std::max({kHotShare * over, kHotUtilization * giver.target.capacity,
+  const double excess = giver.arrivals - mean * giver.target.capacity;
+  const double headroom = mean * taker.target.capacity - taker.arrivals;
+  MoveLimits limits;
+  limits.even_load = std::min(excess, headroom);
+  if (limits.even_load < kMinMoveShare * giver.arrivals &&
+      limits.even_load < kMinMoveShare * giver.target.capacity)
+    limits.even_load = 0;
+  limits.hot_threshold =
+      std::max({kHotShare * excess, kHotUtilization * giver.target.capacity,
                 MinHotRate(giver.has_load_shift)});
-  // What makes the taker busier than this relieves nobody.
-  const double bearable =
+  // A move that makes the taker busier than this relieves nobody.
+  const double max_gain =
       kMaxTakerUtilization * giver.utilization() * taker.target.capacity -
       taker.arrivals;
-  wanted.max_rate = std::min(over * kOvershoot, bearable);
+  limits.max_rate = std::min(excess * kOvershoot, max_gain);
   const bool is_faster =
       taker.target.capacity > kMinSpeedup * giver.target.capacity;
   if (!is_faster)
-    wanted.max_rate = std::min(wanted.max_rate, m_max_capacity);
-  return wanted;
+    limits.max_rate = std::min(limits.max_rate, m_max_capacity);
+  return limits;
 }
 
-SlotRange KeyBalancer::CutFromEnd(const SlotRange& run, double amount) const {
+SlotRange KeyBalancer::CutFromEnd(const SlotRange& range, double amount) const {
   constexpr SlotRange kNothing{1, 0};
   const auto fits = [&](std::uint32_t slot, double sum) {
     return !IsInCooldown(slot) &&
            sum + m_long_term_rates[slot] <= amount * kOvershoot;
   };
   double sum = 0;
-  std::uint32_t first = run.last + 1;
-  while (first > run.first && sum < amount && fits(first - 1, sum))
+  std::uint32_t first = range.last + 1;
+  while (first > range.first && sum < amount && fits(first - 1, sum))
     sum += m_long_term_rates[--first];
   if (sum > 0)
-    return {first, run.last};
-  std::uint32_t end = run.first;
-  while (end <= run.last && sum < amount && fits(end, sum))
+    return {first, range.last};
+  std::uint32_t end = range.first;
+  while (end <= range.last && sum < amount && fits(end, sum))
     sum += m_long_term_rates[end++];
-  return sum > 0 ? SlotRange{run.first, end - 1} : kNothing;
+  return sum > 0 ? SlotRange{range.first, end - 1} : kNothing;
 }
 
 SlotRange KeyBalancer::ChooseRange(const TargetLoad& from,
-                                   const MoveLimits& wanted) const {
+                                   const MoveLimits& limits) const {
   const SlotRange* widest = nullptr;
   std::uint32_t hottest = kSlotCount;
   for (const SlotRange& range : from.ranges) {
     if (widest == nullptr || range.size() > widest->size())
       widest = &range;
     for (std::uint32_t slot = range.first; slot <= range.last; ++slot) {
-      if (IsInCooldown(slot) || m_long_term_rates[slot] > wanted.max_rate)
+      if (IsInCooldown(slot) || m_long_term_rates[slot] > limits.max_rate)
         continue;
       if (hottest == kSlotCount ||
           m_long_term_rates[slot] > m_long_term_rates[hottest])
@@ -249,11 +254,11 @@
     }
   }
   if (hottest != kSlotCount &&
-      m_long_term_rates[hottest] >= wanted.hot_threshold)
+      m_long_term_rates[hottest] >= limits.hot_threshold)
     return {hottest, hottest};
-  if (widest == nullptr || wanted.even_load <= 0)
+  if (widest == nullptr || limits.even_load <= 0)
     return {1, 0};
-  return CutFromEnd(*widest, wanted.even_load);
+  return CutFromEnd(*widest, limits.even_load);
 }
 
 void KeyBalancer::ApplyMove(const SlotRange& range,
@@ -262,12 +267,12 @@
   const auto found = std::find_if(
       from.ranges.begin(), from.ranges.end(),
       [&range](const SlotRange& one) { return one.Contains(range); });
-  const SlotRange before = *found;
+  const SlotRange giver_range = *found;
   from.ranges.erase(found);
-  if (before.first < range.first)
-    from.ranges.push_back({before.first, range.first - 1});
-  if (before.last > range.last)
-    from.ranges.push_back({range.last + 1, before.last});
+  if (giver_range.first < range.first)
+    from.ranges.push_back({giver_range.first, range.first - 1});
+  if (giver_range.last > range.last)
+    from.ranges.push_back({range.last + 1, giver_range.last});
   to.ranges.push_back(range);
   for (std::uint32_t slot = range.first; slot <= range.last; ++slot) {
     m_last_moved_round[slot] = m_round;
@@ -289,13 +294,13 @@
   std::vector<Move> moves;
   if (loads.size() < 2 || mean <= 0)
     return moves;
-  const auto most_moves =
+  const auto move_limit =
       std::max(m_parameters.max_moves,
                static_cast<std::size_t>(m_parameters.max_moved_share *
                                         static_cast<double>(loads.size())));
-  while (moves.size() < most_moves) {
-    // Givers of whom nothing can be taken must not keep others from being
-    // relieved.
+  while (moves.size() < move_limit) {
+    // A giver from which nothing can be taken must not keep the others from
+    // being relieved.
     TargetLoad* giver = nullptr;
     TargetLoad* taker = nullptr;
     for (TargetLoad& load : loads) {
@@ -326,15 +331,15 @@
     const std::vector<Target>& targets) {
   std::vector<TargetLoad> loads;
   loads.reserve(targets.size());
-  std::unordered_map<std::string_view, std::size_t> places;
+  std::unordered_map<std::string_view, std::size_t> index_by_address;
   for (const Target& target : targets) {
-    places.emplace(target.address, loads.size());
+    index_by_address.emplace(target.address, loads.size());
     loads.emplace_back().target = target;
   }
-  for (const SlotAssignment& run : table.assignments()) {
-    const auto found = places.find(run.owner);
-    if (found != places.end())
-      loads[found->second].ranges.push_back(run.range);
+  for (const SlotAssignment& assignment : table.assignments()) {
+    const auto found = index_by_address.find(assignment.owner);
+    if (found != index_by_address.end())
+      loads[found->second].ranges.push_back(assignment.range);
   }
   return loads;
 }
--- a/modules/coordination/mesh/key_balancer.h
+++ b/modules/coordination/mesh/key_balancer.h
@@ -11,58 +11,62 @@
 
 namespace citrongrade {
 
-// Which slots go from one target to another so that all are equally busy.
+// Plans which slots move between targets so that all have the same utilization.
 //
-// Load patterns: 40 % of the requests on 60 to 200 neighbouring keys, or on
-// one, which change within seconds; targets of different speed; a target that
-// joins; a mesh so large that few requests come for each slot. A busy run of
-// keys saturates its one owner while the others idle: its callers wait or are
-// refused although there is room.
+// It is built for these load patterns: 40 % of the requests on 60 to 200
+// neighbouring keys, or on a single key, that change within seconds; targets of
+// different speed; a target that joins; a mesh so large that each slot receives
+// few requests. A hot range of keys saturates its owner while the others idle:
+// its callers wait or are refused although there is capacity.
 //
-// A target's use is the arrivals at its slots divided by what it can do. The
-// most used gives to the least used until all are within `band` of the mean.
-// Single slots that are hot go one by one, so that neighbours of a hot slot can
-// be spread, also to a target that has no room below the mean, as long as it
-// stays below the giver: with 49 targets near the mean none has room for a slot
-// that takes a fifth of a target. Even load is cut off at the edge of a run, so
-// that targets keep few runs. A slot that has just moved stays for
-// `rest_rounds`.
+// A target's utilization is the request rate of its slots divided by its
+// capacity. The most utilized target gives slots to the least utilized one
+// until all are within `imbalance_factor` of the mean. Hot slots move one by
+// one, so that the neighbours of a hot slot can be spread. They also move to a
+// target that has no room below the mean, as long as it stays below the giver:
+// with 49 targets near the mean, none has room for a slot that takes a fifth of
+// a target. Even load is cut off at the end of a range, so that each target
+// keeps few ranges. A slot that has just moved stays for `cooldown_rounds`.
 //
-// A moved key is out of service until the work that runs on it has ended, so
-// chance must move nothing: at a dozen requests a second for a target, one more
-// or less looks like a tenth of its work. Differences count when they are
-// beyond what chance makes of as many requests, and rates are means of some
-// seconds, unless those of the last second show that a target's load is another
-// one now. A slot that no target can serve goes to a fast one, once: moved on,
-// it would be served still less; what lies beside it is taken off its owner.
+// A moving key is out of service until its running requests have ended, so
+// random fluctuation must not cause moves: at a dozen requests per second for a
+// target, one more or less looks like a tenth of its load. A difference counts
+// only if it exceeds what random arrivals of that number explain. Rates are
+// averaged over some seconds, unless the rates of the last second show that a
+// target's load has shifted. A slot that no target can serve moves to a fast
+// target, once: while it moved on, it would be served still less. Its
+// neighbours are moved away from its owner.
 //
-// Pure: decides from what it is given. Kin: KeyAssigner carries it out.
+// Depends only on its inputs and its own earlier rounds. See also KeyAssigner,
+// which carries out the moves.
 class KeyBalancer {
  public:
-  // How often arrivals are looked at for moves.
+  // Interval between planning rounds.
   static constexpr std::chrono::milliseconds kRoundInterval{250};
-  // The part that the newest round makes of the rates that Plan() is given.
-  // With it a hot spot shows in half a second, and noise of a few requests does
-  // not.
+  // Smoothing factor of the rates passed to Plan(): the weight of the newest
+  // round. With it a hot spot shows within half a second, and noise of a few
+  // requests does not.
   static constexpr double kShortTermSmoothing = 0.3;
 
   struct Parameters {
-    // Above the mean use by more than this factor a target gives keys away.
+    // A target whose utilization exceeds the mean by more than this factor
+    // gives keys away.
     double imbalance_factor = 1.15;
-    // Below this use a target needs no relief: its callers hardly wait.
+    // Below this utilization a target needs no relief: its callers hardly wait.
     double busy_utilization = 0.55;
-    // Unless somebody has less than this part of the mean: one that joined, or
-    // is faster than the others. It gets work from any that has more than the
-    // mean.
+    // That limit does not apply if a target has less than this part of the mean
+    // utilization, because it joined or is faster than the others. It gets work
+    // from any target above the mean.
     double underused_share = 0.7;
-    // Below this use not even then.
+    // Below this utilization a target gives no keys away at all.
     double idle_utilization = 0.05;
-    // In a round; in a large mesh for this part of the targets, as the keys
-    // that move are out of service meanwhile.
+    // Most moves per round: `max_moves`, or in a large mesh this part of the
+    // number of targets, as moving keys are out of service.
     std::size_t max_moves = 16;
     double max_moved_share = 0.15;
     std::uint32_t cooldown_rounds = 8;
-    // The same for a slot that no target can serve: longer than a hot spell.
+    // The same for a slot that no target can serve; longer than a hot spell
+    // lasts.
     std::uint32_t too_hot_cooldown_rounds = 24;
 
     friend auto operator<=>(const Parameters&, const Parameters&) = default;
@@ -70,9 +74,9 @@
 
   struct Target {
     std::string address;
-    // Requests that it can do in a second.
+    // Requests per second that the target can serve.
     double capacity = 1;
-    // It may be given keys.
+    // The target may receive keys.
     bool may_receive = true;
 
     friend auto operator<=>(const Target&, const Target&) = default;
@@ -88,8 +92,8 @@
 
   explicit KeyBalancer(const Parameters& parameters);
 
-  // `arrivals`: requests a second for each slot, lately. `table`: as it will be
-  // once the moves under way are done.
+  // `arrivals`: recent requests per second of each slot. `table`: the
+  // assignment as it will be once the moves in progress are done.
   std::vector<Move> Plan(const KeyTable& table,
                          const std::vector<float>& arrivals,
                          const std::vector<Target>& targets);
@@ -97,20 +101,20 @@
  private:
   struct TargetLoad {
     Target target;
-    // Its slots, as planned.
+    // Its slots according to the plan.
     std::vector<SlotRange> ranges;
     double arrivals = 0;
-    // Its load has just changed: its rates are means of a second.
+    // Its load has shifted recently: its rates are averages of about a second.
     bool has_load_shift = false;
-    // No slots can be taken from it.
+    // No more slots can be taken from it.
     bool is_exhausted = false;
     double utilization() const { return arrivals / target.capacity; }
   };
-  // What a move is to take off its giver.
+  // How much load a move should take from its giver, in requests per second.
   struct MoveLimits {
-    // Of even load.
+    // Amount to take from evenly loaded slots.
     double even_load = 0;
-    // Arrivals of a single slot, to go by itself.
+    // Rate at which a single slot is hot and moves by itself.
     double hot_threshold = 0;
     double max_rate = 0;
   };
@@ -119,33 +123,35 @@
       const KeyTable& table,
       const std::vector<Target>& targets);
   void UpdateLongTermRates(const std::vector<float>& arrivals);
-  // Where a target's load is another one now, its slots' rates become those of
+  // If a target's load has shifted, replaces the rates of its slots by those of
   // the last second.
   void ResetShiftedRates(const std::vector<TargetLoad>& loads,
                          const std::vector<float>& arrivals);
-  // The sum of all others is known better than each of them.
+  // Scales the other rates so that their sum matches the recent arrivals: the
+  // sum is known more precisely than each rate.
   void NormalizeRates(const std::vector<float>& arrivals);
   void ComputeLoads(std::vector<TargetLoad>& loads);
-  // Mean use of all, without what nobody can serve.
+  // Mean utilization of all targets, without load that no target can serve.
   double MeanUtilization(const std::vector<TargetLoad>& loads) const;
-  // The part that the newest round makes of a target's rates.
-  double SmoothingFactor(bool has_changed) const;
-  // How far a rate differs by chance from its mean of `arrivals` a second.
-  double StandardDeviation(double arrivals, bool has_changed) const;
-  // A slot with fewer arrivals a second may have them by chance.
-  double MinHotRate(bool has_changed) const;
-  // Whether the giver should give to the taker, with this mean use of all.
+  // Weight of the newest round in a target's rates.
+  double SmoothingFactor(bool has_load_shift) const;
+  // Standard deviation of a measured rate whose mean is `arrivals` requests per
+  // second.
+  double StandardDeviation(double arrivals, bool has_load_shift) const;
+  // Rate below which a slot's requests per second may be random fluctuation.
+  double MinHotRate(bool has_load_shift) const;
+  // `mean`: mean utilization of all targets.
   bool IsWorthMove(const TargetLoad& giver,
                    const TargetLoad& taker,
                    double mean) const;
   MoveLimits LimitsFor(const TargetLoad& giver,
                        const TargetLoad& taker,
                        double mean) const;
-  // Empty (first after last) when there is nothing to take.
-  SlotRange ChooseRange(const TargetLoad& from, const MoveLimits& wanted) const;
-  // About `amount` off either end of the run.
-  SlotRange CutFromEnd(const SlotRange& run, double amount) const;
-  // The slot's load is more than any target can do.
+  // Returns an empty range (first after last) if there is nothing to take.
+  SlotRange ChooseRange(const TargetLoad& from, const MoveLimits& limits) const;
+  // Cuts slots with a load of about `amount` off one end of the range.
+  SlotRange CutFromEnd(const SlotRange& range, double amount) const;
+  // The slot's load exceeds the capacity of every target.
   bool IsTooHot(std::uint32_t slot) const;
   bool IsInCooldown(std::uint32_t slot) const;
   void ApplyMove(const SlotRange& range, TargetLoad& from, TargetLoad& to);
@@ -154,11 +160,12 @@
   std::uint32_t m_round = 0;
   // By slot: the round in which it moved last.
   std::vector<std::uint32_t> m_last_moved_round;
-  // By slot: requests a second, as a mean of some seconds.
+  // By slot: requests per second, averaged over some seconds.
   std::vector<float> m_long_term_rates;
-  // By slot: the round in which its rate was made that of the last second.
+  // By slot: the round in which its rate was last replaced by that of the last
+  // second.
   std::vector<std::uint32_t> m_last_reset_round;
-  // Of a slot.
+  // Mean request rate of a slot.
   double m_mean_rate = 0;
   double m_max_capacity = 0;
 };
--- a/modules/coordination/mesh/key_balancer_test.cc
+++ b/modules/coordination/mesh/key_balancer_test.cc
@@ -23,12 +23,12 @@
 KeyTable EvenTable() {
   KeyTable table;
   for (std::uint32_t i = 0; i < kTargets; ++i) {
-    SlotAssignment run;
-    run.range = {i * kSlotCount / kTargets,
-                 (i + 1) * kSlotCount / kTargets - 1};
-    run.owner = Name(i);
-    run.fence = i + 1;
-    table.Assign(run);
+    SlotAssignment assignment;
+    assignment.range = {i * kSlotCount / kTargets,
+                        (i + 1) * kSlotCount / kTargets - 1};
+    assignment.owner = Name(i);
+    assignment.fence = i + 1;
+    table.Assign(assignment);
   }
   return table;
 }
@@ -44,23 +44,24 @@
              const std::vector<float>& arrivals,
              const std::string& owner) {
   double sum = 0;
-  double all = 0;
-  for (const SlotAssignment& run : table.assignments()) {
-    for (std::uint32_t s = run.range.first; s <= run.range.last; ++s) {
-      all += arrivals[s];
-      sum += run.owner == owner ? arrivals[s] : 0;
+  double total = 0;
+  for (const SlotAssignment& assignment : table.assignments()) {
+    for (std::uint32_t s = assignment.range.first; s <= assignment.range.last;
+         ++s) {
+      total += arrivals[s];
+      sum += assignment.owner == owner ? arrivals[s] : 0;
     }
   }
-  return sum / all;
+  return sum / total;
 }
 
-// Carries the moves out, as if they had no cost.
-void Carry(KeyTable& table, const std::vector<KeyBalancer::Move>& moves) {
+// Applies the moves at once and without cost.
+void ApplyMoves(KeyTable& table, const std::vector<KeyBalancer::Move>& moves) {
   for (const KeyBalancer::Move& move : moves) {
-    SlotAssignment run = table.Find(move.range.first);
-    run.range = move.range;
-    run.owner = move.to;
-    table.Assign(run);
+    SlotAssignment assignment = table.Find(move.range.first);
+    assignment.range = move.range;
+    assignment.owner = move.to;
+    table.Assign(assignment);
   }
 }
 
@@ -73,10 +74,11 @@
 
 }  // namespace
 
-// A hot range: 43 % of the requests on 60 neighbouring keys, all of one target.
-// Without moves it gets half of all requests and can do a seventh. Grounds for
-// the bound: a slot holds 1.4 % of the load, a tenth of a fair share, and the
-// band within which nothing moves is 1.12.
+// Guards against a hot range that saturates one target: 43 % of the requests go
+// to 60 neighbouring keys of one target, which without moves gets half of all
+// requests and can serve a seventh. The bound allows for a slot with 1.4 % of
+// the load, a tenth of a fair share, and for the factor of 1.12 within which
+// nothing moves.
 TEST_CASE("a hot range is spread within three rounds") {
   std::vector<float> arrivals(kSlotCount, 57.0 / kSlotCount);
   for (std::uint32_t s = 1000; s < 1000 + kHotSlots; ++s)
@@ -85,12 +87,13 @@
   REQUIRE(WorstShare(table, arrivals) > 0.45);
   KeyBalancer balancer{KeyBalancer::Parameters()};
   for (int round = 0; round < 3; ++round)
-    Carry(table, balancer.Plan(table, arrivals, Targets(20)));
+    ApplyMoves(table, balancer.Plan(table, arrivals, Targets(20)));
   CHECK(WorstShare(table, arrivals) < 1.25 / kTargets);
 }
 
-// Targets differ in speed, 0.6 to 1.4: equal shares overload the slow ones.
-TEST_CASE("shares follow what each target gets done") {
+// Guards against equal shares for targets of different speed (0.6 to 1.4),
+// which overload the slow ones.
+TEST_CASE("shares follow the capacity of each target") {
   const std::vector<float> arrivals(kSlotCount, 80.0 / kSlotCount);
   std::vector<KeyBalancer::Target> targets = Targets(20);
   targets[0].capacity = 12;
@@ -98,14 +101,14 @@
   KeyTable table = EvenTable();
   KeyBalancer balancer{KeyBalancer::Parameters()};
   for (int round = 0; round < 20; ++round)
-    Carry(table, balancer.Plan(table, arrivals, targets));
+    ApplyMoves(table, balancer.Plan(table, arrivals, targets));
   CHECK(Share(table, arrivals, Name(0)) ==
         doctest::Approx(12.0 / 140).epsilon(0.15));
   CHECK(Share(table, arrivals, Name(6)) ==
         doctest::Approx(28.0 / 140).epsilon(0.15));
 }
 
-// The others are busy, 0.79 of what they can do.
+// The other targets are busy, at a utilization of 0.79.
 TEST_CASE("a target that joins gets its share, one that may not receive none") {
   const std::vector<float> arrivals(kSlotCount, 110.0 / kSlotCount);
   std::vector<KeyBalancer::Target> targets = Targets(20);
@@ -114,13 +117,13 @@
   KeyTable table = EvenTable();
   KeyBalancer balancer{KeyBalancer::Parameters()};
   for (int round = 0; round < 20; ++round)
-    Carry(table, balancer.Plan(table, arrivals, targets));
+    ApplyMoves(table, balancer.Plan(table, arrivals, targets));
   CHECK(Share(table, arrivals, "new") > 0.08);
   CHECK(Share(table, arrivals, "cold") == 0);
 }
 
-// Steady even load with the noise of few requests: a planner that answers noise
-// moves keys for ever.
+// Guards against moves that never end: with few requests per slot, steady load
+// looks uneven by random fluctuation.
 TEST_CASE("even load moves nothing") {
   std::vector<float> arrivals(kSlotCount, 80.0 / kSlotCount);
   for (std::uint32_t s = 0; s < kSlotCount; ++s)
@@ -132,7 +135,7 @@
   CHECK(moves == 0);
 }
 
-TEST_CASE("nobody is relieved while all have room") {
+TEST_CASE("nothing moves while all targets have spare capacity") {
   std::vector<float> arrivals(kSlotCount, 1.0 / kSlotCount);
   arrivals[0] = 2;
   KeyBalancer balancer{KeyBalancer::Parameters()};
@@ -141,25 +144,27 @@
 
 namespace {
 
-// 158 targets of unlike speed. Few requests come for each slot, as at random,
-// and the measured capacities differ from the true ones by up to a tenth.
+// A mesh of 158 targets of different speed. Each slot receives few requests at
+// random, and measured capacities differ from the true ones by up to a tenth.
 class LargeMesh {
  public:
   static constexpr std::uint32_t kSize = 158;
   static constexpr double kMeanCapacity = 20;
 
-  // `use`: the arrivals, as part of what all can do.
-  explicit LargeMesh(double use)
+  // `utilization`: total request rate relative to the total capacity.
+  explicit LargeMesh(double utilization)
       : m_arrivals(kSlotCount), m_rates(kSlotCount, 0) {
     for (std::uint32_t i = 0; i < kSize; ++i) {
-      SlotAssignment run;
-      run.range = {i * kSlotCount / kSize, (i + 1) * kSlotCount / kSize - 1};
-      run.owner = Name(i);
-      run.fence = i + 1;
-      table.Assign(run);
+      SlotAssignment assignment;
+      assignment.range = {i * kSlotCount / kSize,
+                          (i + 1) * kSlotCount / kSize - 1};
+      assignment.owner = Name(i);
+      assignment.fence = i + 1;
+      table.Assign(assignment);
     }
     for (float& slot : m_arrivals)
-      slot = static_cast<float>(use * kMeanCapacity * kSize / kSlotCount);
+      slot =
+          static_cast<float>(utilization * kMeanCapacity * kSize / kSlotCount);
   }
 
   void Add(std::uint32_t slot, double arrivals) {
@@ -183,25 +188,26 @@
       for (std::uint32_t s = move.range.first; s <= move.range.last; ++s)
         ++moves_of[s];
     }
-    Carry(table, planned);
+    ApplyMoves(table, planned);
   }
 
-  // Arrivals as part of what the target can do.
-  double UseOf(const std::string& name) const {
+  // Request rate of the target relative to its capacity.
+  double UtilizationOf(const std::string& name) const {
     double sum = 0;
-    for (const SlotAssignment& run : table.assignments()) {
-      if (run.owner != name)
+    for (const SlotAssignment& assignment : table.assignments()) {
+      if (assignment.owner != name)
         continue;
-      for (std::uint32_t s = run.range.first; s <= run.range.last; ++s)
+      for (std::uint32_t s = assignment.range.first; s <= assignment.range.last;
+           ++s)
         sum += m_arrivals[s];
     }
     return sum / CapacityOf(name);
   }
 
-  double WorstUse() const {
+  double WorstUtilization() const {
     double worst = 0;
     for (std::uint32_t i = 0; i < kSize; ++i)
-      worst = std::max(worst, UseOf(Name(i)));
+      worst = std::max(worst, UtilizationOf(Name(i)));
     return worst;
   }
 
@@ -210,21 +216,21 @@
   std::size_t moves = 0;
 
  private:
-  // As a leader counts them: a round decides a part of each rate.
+  // Measures rates as a leader does, with each round as a part of the rate.
   void CountArrivals() {
     constexpr double kSeconds =
         std::chrono::duration<double>(KeyBalancer::kRoundInterval).count();
-    constexpr auto kRoundShare =
+    constexpr auto kSmoothing =
         static_cast<float>(KeyBalancer::kShortTermSmoothing);
-    const double all =
+    const double total =
         std::accumulate(m_arrivals.begin(), m_arrivals.end(), 0.0);
     if (std::exchange(m_is_first, false))
-      m_rates.assign(kSlotCount, static_cast<float>(all / kSlotCount));
+      m_rates.assign(kSlotCount, static_cast<float>(total / kSlotCount));
     for (std::uint32_t s = 0; s < kSlotCount; ++s) {
       const int count =
           std::poisson_distribution<>(m_arrivals[s] * kSeconds)(m_random);
       const auto rate = static_cast<float>(count / kSeconds);
-      m_rates[s] += kRoundShare * (rate - m_rates[s]);
+      m_rates[s] += kSmoothing * (rate - m_rates[s]);
     }
   }
 
@@ -245,19 +251,20 @@
 
 }  // namespace
 
-// Keys are given out before anybody knows how fast each target is. Guards
-// against slow targets of a large mesh that stay overloaded for seconds.
-TEST_CASE("a large mesh of unlike targets is even within two seconds") {
+// Guards against slow targets of a large mesh that stay overloaded for seconds:
+// keys are assigned before the speed of each target is known.
+TEST_CASE("a large mesh of unequal targets is balanced within two seconds") {
   LargeMesh mesh(0.75);
-  REQUIRE(mesh.WorstUse() > 1);
+  REQUIRE(mesh.WorstUtilization() > 1);
   for (int round = 0; round < 2 * kRoundsPerSecond; ++round)
     mesh.PlayRound();
-  CHECK(mesh.WorstUse() < 1);
+  CHECK(mesh.WorstUtilization() < 1);
 }
 
-// Guards against moves for ever, each of which stops a key for as long as its
-// work takes: one request for a slot that has few looks like a hot spot.
-TEST_CASE("chance arrivals at a large mesh move few keys") {
+// Guards against moves that never end, each of which stops a key until its
+// requests have ended: a single request for a slot that has few looks like a
+// hot spot.
+TEST_CASE("random arrivals in a large mesh move few keys") {
   LargeMesh mesh(0.6);
   for (int round = 0; round < 3 * kRoundsPerSecond; ++round)
     mesh.PlayRound();
@@ -267,9 +274,9 @@
   CHECK(mesh.moves < LargeMesh::kSize / 2);
 }
 
-// 470 requests a second for one key, of which no target can serve a tenth.
-// Guards against a key that is out of service again and again, as each move of
-// it waits for the work that runs on it.
+// Guards against a key that is out of service again and again, as each move
+// waits for its running requests to end. The key gets 470 requests per second,
+// of which no target can serve a tenth.
 TEST_CASE("a key that is too hot for any target moves once, to a fast one") {
   LargeMesh mesh(0.5);
   mesh.Add(kHotSlot, 470);
@@ -280,7 +287,7 @@
   CHECK(LargeMesh::CapacityOf(owner) > LargeMesh::kMeanCapacity);
 }
 
-// Guards against callers of other keys who wait behind those of the hot one.
+// Guards against callers of other keys that wait behind those of the hot key.
 TEST_CASE("keys beside one that is too hot move away from its owner") {
   constexpr double kHot = 470;
   LargeMesh mesh(0.5);
@@ -288,7 +295,8 @@
   for (int round = 0; round < 3 * kRoundsPerSecond; ++round)
     mesh.PlayRound();
   const std::string owner = mesh.table.Find(kHotSlot).owner;
-  const double others = mesh.UseOf(owner) - kHot / LargeMesh::CapacityOf(owner);
+  const double others =
+      mesh.UtilizationOf(owner) - kHot / LargeMesh::CapacityOf(owner);
   CHECK(others < 0.1);
 }
 
--- a/modules/coordination/mesh/key_placement.cc
+++ b/modules/coordination/mesh/key_placement.cc
@@ -10,12 +10,12 @@
 
 namespace {
 
-// A range is given out in pieces of at most this part of what one receiver
-// would get of all.
+// A range is assigned in pieces of at most this part of one receiver's even
+// share of all weight.
 constexpr double kMaxPieceShare = 0.34;
 
-const std::string& PlannedOwner(const SlotAssignment& run) {
-  return run.is_moving() ? run.next.address : run.owner;
+const std::string& PlannedOwner(const SlotAssignment& assignment) {
+  return assignment.is_moving() ? assignment.next.address : assignment.owner;
 }
 
 std::vector<double> PrefixSums(const std::vector<float>& weights) {
@@ -38,15 +38,15 @@
     : m_receivers(std::move(receivers)),
       m_prefix_weights(PrefixSums(weights)),
       m_loads(m_receivers.size(), 0) {
-  // The caller must pass somebody who may get keys, and a weight a slot.
+  // The caller must pass at least one receiver, and one weight per slot.
   assert(!m_receivers.empty() && weights.size() == kSlotCount);
-  std::map<std::string_view, std::size_t> places;
+  std::map<std::string_view, std::size_t> index_by_address;
   for (std::size_t i = 0; i < m_receivers.size(); ++i)
-    places.emplace(m_receivers[i].address, i);
-  for (const SlotAssignment& run : table.assignments()) {
-    const auto found = places.find(PlannedOwner(run));
-    if (found != places.end())
-      m_loads[found->second] += WeightOf(run.range);
+    index_by_address.emplace(m_receivers[i].address, i);
+  for (const SlotAssignment& assignment : table.assignments()) {
+    const auto found = index_by_address.find(PlannedOwner(assignment));
+    if (found != index_by_address.end())
+      m_loads[found->second] += WeightOf(assignment.range);
   }
   m_max_piece_weight = m_prefix_weights.back() /
                        static_cast<double>(m_receivers.size()) * kMaxPieceShare;
@@ -57,11 +57,12 @@
 }
 
 SlotRange KeyPlacement::FirstPiece(const SlotRange& range) const {
-  const double most = m_prefix_weights[range.first] + m_max_piece_weight;
+  const double max_prefix = m_prefix_weights[range.first] + m_max_piece_weight;
   const auto begin = m_prefix_weights.begin();
-  // From the weight with two slots on: one is a piece whatever it weighs.
-  const auto too_heavy =
-      std::upper_bound(begin + range.first + 2, begin + range.last + 2, most);
+  // The search starts at two slots: a single slot is a piece whatever its
+  // weight.
+  const auto too_heavy = std::upper_bound(begin + range.first + 2,
+                                          begin + range.last + 2, max_prefix);
   const auto slots_before = static_cast<std::uint32_t>(too_heavy - begin) - 1;
   return {range.first, slots_before - 1};
 }
@@ -69,12 +70,12 @@
 std::size_t KeyPlacement::AssignRange(const SlotRange& range) {
   const double weight = WeightOf(range);
   std::size_t best = 0;
-  double least = 0;
+  double lowest = 0;
   for (std::size_t i = 0; i < m_receivers.size(); ++i) {
-    const double use = (m_loads[i] + weight) / m_receivers[i].capacity;
-    if (i == 0 || use < least) {
+    const double utilization = (m_loads[i] + weight) / m_receivers[i].capacity;
+    if (i == 0 || utilization < lowest) {
       best = i;
-      least = use;
+      lowest = utilization;
     }
   }
   m_loads[best] += weight;
--- a/modules/coordination/mesh/key_placement.h
+++ b/modules/coordination/mesh/key_placement.h
@@ -10,21 +10,21 @@
 
 namespace citrongrade {
 
-// Which of a service's receivers gets keys next: the one that will be least
-// busy with them, whatever is planned already counted.
+// Selects the receiver of keys that are assigned next: the one that will have
+// the lowest utilization, with planned moves already counted.
 //
-// How to use it: make one for all keys that are given out in one step, and
-// Take() for each range. It counts what it gives, and need not be made anew: a
-// leader that looked through the table for each of 1,600 runs planned for half
-// a second, while the others took it for lost.
+// Make one for all keys that are assigned in one step, and call AssignRange()
+// for each range. It counts what it has assigned and need not be made anew: a
+// leader that scanned the table for each of 1,600 assignments planned for half
+// a second, and the other nodes considered it lost.
 //
-// A plan on paper: nothing takes effect by it. Kin: KeyAssigner, which records
-// what goes to whom; KeyBalancer, which relieves busy owners.
+// Only plans: nothing takes effect by it. See also KeyAssigner, which records
+// the assignments, and KeyBalancer, which relieves busy owners.
 class KeyPlacement {
  public:
   struct Receiver {
     std::string address;
-    // Requests a second.
+    // Requests per second.
     double capacity = 1;
 
     friend auto operator<=>(const Receiver&, const Receiver&) = default;
@@ -35,20 +35,21 @@
                const KeyTable& table,
                const std::vector<float>& weights);
 
-  // The first part of a range that is small enough to be given out by itself;
-  // one slot at least.
+  // Returns the first part of a range that is small enough to be assigned by
+  // itself; at least one slot.
   SlotRange FirstPiece(const SlotRange& range) const;
 
-  // The place, among the receivers, of the one that gets the range.
+  // Assigns the range and returns the receiver's index.
   std::size_t AssignRange(const SlotRange& range);
 
  private:
   double WeightOf(const SlotRange& range) const;
 
   const std::vector<Receiver> m_receivers;
-  // Of all slots before each one, and of all.
+  // Prefix sums of the weights: entry i is the sum of all slots before i, the
+  // last entry the sum of all.
   std::vector<double> m_prefix_weights;
-  // By receiver: the weight of what it has or is to get.
+  // By receiver: the weight of the slots that it has or will get.
   std::vector<double> m_loads;
   double m_max_piece_weight = 0;
 };
--- a/modules/coordination/mesh/key_placement_test.cc
+++ b/modules/coordination/mesh/key_placement_test.cc
@@ -11,36 +11,37 @@
 
 const std::vector<float> kEven(kSlotCount, 1.0F);
 
-SlotAssignment Run(const SlotRange& range, const std::string& owner) {
-  SlotAssignment run;
-  run.range = range;
-  run.owner = owner;
-  run.fence = 1;
-  return run;
+SlotAssignment MakeAssignment(const SlotRange& range,
+                              const std::string& owner) {
+  SlotAssignment assignment;
+  assignment.range = range;
+  assignment.owner = owner;
+  assignment.fence = 1;
+  return assignment;
 }
 
 }  // namespace
 
-TEST_CASE("whoever is least busy for its size gets the next keys") {
+TEST_CASE("the receiver with the lowest utilization gets the next keys") {
   KeyTable table;
-  table.Assign(Run({0, 99}, "a"));
+  table.Assign(MakeAssignment({0, 99}, "a"));
   KeyPlacement placement({{"a", 1}, {"b", 1}, {"c", 4}}, table, kEven);
   CHECK(placement.AssignRange({100, 399}) == 2);
   CHECK(placement.AssignRange({400, 449}) == 1);
-  // a has 100 already, b 50 now and c 300 with four times their size.
+  // Loads now: a 100, b 50, and c 300 with four times their capacity.
   CHECK(placement.AssignRange({450, 459}) == 1);
 }
 
-TEST_CASE("keys that move count for their next owner") {
+TEST_CASE("moving keys count for their next owner") {
   KeyTable table;
-  SlotAssignment moving = Run({0, 999}, "a");
+  SlotAssignment moving = MakeAssignment({0, 999}, "a");
   moving.next = {"b", {"t-b", 0}, 2};
   table.Assign(moving);
   KeyPlacement placement({{"a", 1}, {"b", 1}}, table, kEven);
   CHECK(placement.AssignRange({1000, 1099}) == 0);
 }
 
-TEST_CASE("a busy slot is a piece by itself, idle ones go together") {
+TEST_CASE("a hot slot is a piece by itself, idle slots are grouped") {
   std::vector<float> weights = kEven;
   weights[10] = 100'000;
   const KeyPlacement placement({{"a", 1}, {"b", 1}}, KeyTable(), weights);
@@ -50,9 +51,9 @@
   CHECK(placement.FirstPiece({99, 99}) == SlotRange{99, 99});
 }
 
-// All owners are lost at once, and every run is given out in one step: each
-// receiver must get its share although nobody looks at the table in between.
-TEST_CASE("what is given out in one step is spread over all") {
+// Guards against an uneven assignment when all owners are lost at once and
+// every range is assigned in one step, without reading the table in between.
+TEST_CASE("keys assigned in one step are spread over all receivers") {
   std::vector<KeyPlacement::Receiver> receivers;
   for (char name = 'a'; name < 'i'; ++name)
     receivers.push_back({std::string(1, name), 1});
--- a/modules/coordination/mesh/leader_tracker.cc
+++ b/modules/coordination/mesh/leader_tracker.cc
@@ -6,17 +6,18 @@
 
 namespace {
 
-// One answer may get lost; a frozen or lost leader does not answer twice.
+// One answer may get lost; a frozen or lost leader does not answer twice in a
+// row.
 constexpr unsigned kMaxFailures = 2;
-// A node that was asked in vain is not asked again for so long: longer than a
-// vote is promised, so that another can be elected meanwhile.
+// A node that did not act as the leader is not asked again for this long:
+// longer than a vote is promised, so that another can be elected meanwhile.
 constexpr std::chrono::milliseconds kFailedNodeBackoff{1500};
 
 }  // namespace
 
-LeaderTracker::LeaderTracker(const Clock& clock, Clock::Duration patience)
+LeaderTracker::LeaderTracker(const Clock& clock, Clock::Duration hint_timeout)
     : m_clock(clock),
-      m_hint_timeout(patience),
+      m_hint_timeout(hint_timeout),
       m_last_leader_reply(clock.Now()) {}
 
 void LeaderTracker::Follow(const std::string& node) {
--- a/modules/coordination/mesh/leader_tracker.h
+++ b/modules/coordination/mesh/leader_tracker.h
@@ -8,55 +8,60 @@
 
 namespace citrongrade {
 
-// Which node this one takes for the mesh's leader, and whether that has shown
-// itself to lead.
+// Tracks which node this one considers the mesh's leader, and whether that node
+// has confirmed that it leads.
 //
-// A node learns of a leader from the stored record, from votes, and from nodes
-// that it asked in vain, which may all be out of date. So one that is followed
-// may be promised a vote only once it has answered as the leader, and hints are
-// followed for so long only. Without these a leader that was killed and back at
-// once left its mesh without any: two nodes sent all others to each other,
-// and each visit renewed the votes that a new leader would have needed.
+// A node learns of a leader from the stored record, from votes, and from the
+// hints of nodes that do not lead; all of them may be out of date. A followed
+// node may therefore be promised a vote only once it has answered as the
+// leader, and hints are followed for a limited time only. Without these rules a
+// leader that was killed and restarted at once left its mesh without a leader:
+// two nodes kept redirecting all others to each other, and each visit renewed
+// the votes that a new leader would have needed.
 //
-// How to use it: Follow() whom the record or a vote names, ask that node, and
-// report what came of it. While nobody is followed, look for a leader.
+// Call Follow() with the node that the record or a vote names, ask that node,
+// and report the outcome. While no node is followed, look for a leader.
 //
-// Thread-confined, no input or output. Kin: VotePromise, LeadershipLease.
+// Not thread-safe; does no I/O. See also VotePromise and LeadershipLease.
 class LeaderTracker {
  public:
-  // `patience`: hints are followed for so long without a leader's answer.
-  LeaderTracker(const Clock& clock, Clock::Duration patience);
+  // `hint_timeout`: how long hints are followed without a leader's answer.
+  LeaderTracker(const Clock& clock, Clock::Duration hint_timeout);
 
-  // Empty: nobody.
+  // Empty if no node is followed.
   const std::string& address() const { return m_address; }
   bool is_followed(const std::string& node) const { return m_address == node; }
   bool is_following() const { return !m_address.empty(); }
 
-  // A source that may be right named it: it gets time to answer.
+  // Follows a node that a possibly current source names, and allows it the full
+  // time to answer.
   void Follow(const std::string& node);
   void Clear();
 
-  // The one followed answered as the leader.
+  // The node answered as the leader.
   void OnLeaderReply(const std::string& node);
-  // It answered that it does not lead, and whom to ask instead (may be empty).
+  // The node answered that it does not lead. `hint`: the node to ask instead,
+  // may be empty.
   void OnNotLeading(const std::string& node, const std::string& hint);
-  // Its process is new, and knows of no leader.
+  // The node's process is new and knows of no leader.
   void OnRestarted(const std::string& node);
-  // It answered as the leader that it no longer is.
+  // The node answered as a leader that has been deposed.
   void OnDeposed(const std::string& node);
-  // It did not answer. True when it is given up: it was the second time.
+  // The node did not answer. Returns true if it is given up, which happens at
+  // the second failure in a row.
   bool OnTimeout(const std::string& node);
-  // Nobody listens at its address.
+  // Nothing listens at the node's address.
   void OnConnectionRefused(const std::string& node);
 
-  // It has answered as the leader since it is followed.
+  // The node has answered as the leader since it was followed, so it may be
+  // promised a vote.
   bool IsConfirmedLeader(const std::string& node) const;
-  // It was asked in vain a short while ago.
+  // The node was recently asked and did not act as the leader.
   bool HasRecentlyFailed(const std::string& node) const;
 
   // This node leads, or did until now.
   void OnOwnLeadership();
-  // Since a leader answered last, whoever is followed meanwhile.
+  // Time since any leader's last answer, whichever node is followed meanwhile.
   Clock::Duration TimeSinceLeaderReply() const;
 
  private:
--- a/modules/coordination/mesh/leader_tracker_test.cc
+++ b/modules/coordination/mesh/leader_tracker_test.cc
@@ -10,20 +10,21 @@
 
 namespace {
 
-constexpr milliseconds kPatience{1200};
-// Between two questions.
+constexpr milliseconds kHintTimeout{1200};
+// Interval between two requests.
 constexpr milliseconds kStep{40};
 
 struct Fixture {
   ManualClock clock;
-  LeaderTracker tracker{clock, kPatience};
+  LeaderTracker tracker{clock, kHintTimeout};
 };
 
 }  // namespace
 
-// A leader was killed and was back at once. Node a still took it for the leader
-// and it took a for one; everybody else was sent from one to the other and back
-// for good, and promised both their votes: nobody could be elected.
+// Guards against a mesh that can't elect a leader after the leader was killed
+// and restarted at once. Node "a" considers it the leader and it considers "a"
+// the leader; all other nodes are redirected between the two forever, and
+// promise both their votes.
 TEST_CASE_FIXTURE(Fixture, "two nodes that name each other are given up") {
   tracker.Follow("a");
   milliseconds asked{0};
@@ -34,11 +35,13 @@
     clock.Advance(kStep);
     asked += kStep;
   }
-  CHECK(asked > kPatience);
-  CHECK(asked < kPatience + 3 * kStep);
+  CHECK(asked > kHintTimeout);
+  CHECK(asked < kHintTimeout + 3 * kStep);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a vote is only for one that answered as leader") {
+TEST_CASE_FIXTURE(
+    Fixture,
+    "a vote is only promised to a node that answered as the leader") {
   tracker.Follow("a");
   CHECK_FALSE(tracker.IsConfirmedLeader("a"));
   tracker.OnLeaderReply("a");
@@ -61,8 +64,8 @@
   CHECK_FALSE(tracker.HasRecentlyFailed("a"));
 }
 
-// A leader that was frozen for seconds wakes up and says hello as if nothing
-// had happened. A node that went on following it got no lease any more.
+// Guards against following a leader that was frozen for seconds and answers
+// again although it has been deposed: its followers would get no lease.
 TEST_CASE_FIXTURE(Fixture, "a deposed leader is not followed") {
   tracker.Follow("old");
   tracker.OnLeaderReply("old");
@@ -73,7 +76,7 @@
   CHECK(tracker.HasRecentlyFailed("old"));
 }
 
-TEST_CASE_FIXTURE(Fixture, "late news of another node change nothing") {
+TEST_CASE_FIXTURE(Fixture, "a late outcome for another node changes nothing") {
   tracker.Follow("a");
   CHECK_FALSE(tracker.OnTimeout("b"));
   CHECK_FALSE(tracker.OnTimeout("b"));
--- a/modules/coordination/mesh/push_hold_tracker.cc
+++ b/modules/coordination/mesh/push_hold_tracker.cc
@@ -9,11 +9,11 @@
 
 using std::chrono::milliseconds;
 
-// What a clock that runs slow adds to the longest hold.
+// Extends the longest hold to allow for a target's clock that runs slow.
 constexpr milliseconds kClockSlack{40};
-// Grants that an earlier process of this node left without an answer may hold
-// for so long after its end, by a lease of ordinary length; SetLongestLease()
-// tells of longer ones.
+// How long unanswered grants of an earlier process of this node may still hold
+// after its end, with leases of ordinary length. SetMaxLease() extends it
+// for longer ones.
 constexpr milliseconds kEarlierProcessHold{2000};
 
 }  // namespace
@@ -24,7 +24,8 @@
 void PushHoldTracker::OnMustRelease(Hold& hold) {
   if (hold.state == State::kReleasing || hold.state == State::kReturned)
     return;
-  // Also what this process has never granted: an earlier one may have.
+  // Includes ranges that this process has never granted: an earlier one may
+  // have granted them.
   hold.state = State::kReleasing;
   hold.next_call = Now();
 }
@@ -33,11 +34,12 @@
     Clock::TimePoint lease_until) {
   std::vector<Grant> due;
   const Clock::TimePoint now = Now();
-  const auto left = std::chrono::duration<double, std::milli>(
+  const auto lease_left = std::chrono::duration<double, std::milli>(
       lease_until - now - kCallTimeout);
-  // From the arrival of the call on, by a clock that may run slow.
+  // The target counts from the arrival of the call, by a clock that may run
+  // slow.
   const milliseconds hold_time(
-      static_cast<std::int64_t>(left.count() * kMinTargetClockRate));
+      static_cast<std::int64_t>(lease_left.count() * kMinTargetClockRate));
   if (hold_time < kMinHold)
     return due;
   for (Hold& hold : holds()) {
@@ -117,8 +119,8 @@
                                  const std::string& handover) {
   CompleteCall(id, [&handover](Hold& hold) {
     hold.is_released = true;
-    // A target that held nothing hands nothing over, and nobody has touched the
-    // keys since the holder before.
+    // A target that held nothing returns no handover; nobody has used the keys
+    // since the previous holder, whose handover is still valid.
     hold.returned_handover = handover.empty() ? hold.handover : handover;
   });
 }
@@ -136,7 +138,7 @@
   std::vector<ReturnedRange> returned;
   for (Hold& hold : holds()) {
     if (hold.state == State::kReleasing) {
-      // A hold that was never released runs out by itself.
+      // A hold without a confirmed release ends when it expires.
       const Clock::TimePoint end =
           hold.is_released
               ? hold.may_hold_until
--- a/modules/coordination/mesh/push_hold_tracker.h
+++ b/modules/coordination/mesh/push_hold_tracker.h
@@ -11,19 +11,21 @@
 
 namespace citrongrade {
 
-// What one target holds by its node's orders, and what it may still hold.
+// Tracks what one target holds, or may still hold, when its node sends the
+// grants and releases as calls to the target.
 //
-// A node asks its target to take keys (grant, for a time), to take them for
+// A node asks its target to take keys for a limited time (grant), to keep them
 // longer (the same grant again) and to give them back (release). The target may
-// leave a grant unanswered and carry it out seconds later; its time counts from
-// its arrival all the same. So a range counts as given back only when no grant
-// that covers it can still take effect, or two targets could hold it.
+// leave a grant unanswered and apply it seconds later; the hold's time then
+// counts from the grant's arrival. A range therefore counts as returned only
+// when no grant that covers it can still take effect; otherwise two targets
+// could hold it.
 //
-// How to use it: as TargetHolds says. Send what DueGrants() and DueReleases()
-// give, and report each one's end.
+// Use it as described at TargetHoldTracker. Send the calls that DueGrants() and
+// DueReleases() return, and report the outcome of each.
 //
-// Thread-confined, no input or output. Kin: TargetKeeper sends the calls;
-// ReportedHolds does the same for targets that get grants with the answers to
+// Not thread-safe; does no I/O. See also TargetController, which sends the
+// calls, and PollingHoldTracker, for targets that get grants in the replies to
 // their reports.
 class PushHoldTracker final : public TargetHoldTracker {
  public:
@@ -41,27 +43,27 @@
     std::uint64_t id = 0;
     SlotRange range;
     std::uint64_t fence = 0;
-    // One before it got no answer.
+    // An earlier release of this range got no answer.
     bool is_retry = false;
 
     friend auto operator<=>(const Release&, const Release&) = default;
   };
 
-  // A grant is sent again this often while its target should keep the keys.
+  // Interval at which a grant is renewed while the target should keep the keys.
   static constexpr std::chrono::milliseconds kRenewalInterval{600};
-  // After a call without an answer.
+  // Pause before a call is repeated that failed or was not answered.
   static constexpr std::chrono::milliseconds kRetryDelay{60};
   using TargetHoldTracker::kCallTimeout;
 
   explicit PushHoldTracker(const Clock& clock);
 
-  // `lease_until`: until when the node may let its target serve.
+  // `lease_until`: end of the node's lease; the target may not serve beyond it.
   std::vector<Grant> DueGrants(Clock::TimePoint lease_until);
   void OnGranted(std::uint64_t id);
   void OnGrantUnanswered(std::uint64_t id);
-  // It was never sent: nothing of it can arrive.
+  // The grant was not sent, so it can't take effect later.
   void OnGrantNotSent(std::uint64_t id);
-  // It has seen a higher fencing token: the range needs a new grant.
+  // The target has seen a higher fencing token: the range needs a new grant.
   void OnGrantRefused(std::uint64_t id);
 
   std::vector<Release> DueReleases();
