--- a/modules/transport/mesh/config_decoder.h
+++ b/modules/transport/mesh/config_decoder.h
@@ -7,13 +7,13 @@
 
 namespace citrongrade {
 
-// The operators' document can't be read as a configuration.
+// The operators' document is not a valid configuration.
 class InvalidConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Reads the operators' document.
+// Decodes the operators' document.
 class ConfigDecoder {
  public:
   virtual ~ConfigDecoder() = default;
--- a/modules/transport/mesh/config_follower.cc
+++ b/modules/transport/mesh/config_follower.cc
@@ -19,17 +19,19 @@
 
 using std::chrono::milliseconds;
 
-// One wait for a new document. A connection to the store that went silent is
-// found after it; configuration has to be in force within 2 s.
+// Longest wait for a new document in one call. A connection to the store that
+// went silent is detected after it; a configuration has to be in force within
+// 2 s.
 constexpr milliseconds kLongPollTimeout{900};
-// After a call that failed.
+// Pause after a failed call.
 constexpr milliseconds kDelayAfterFailure{250};
-// How soon it is noticed that the store is to be followed.
+// Interval of the check whether the store has to be read.
 constexpr milliseconds kIdlePollInterval{100};
-// An answer that is older says nothing of the store's present state.
+// An older answer does not show that the store is reachable now.
 constexpr milliseconds kMaxAnswerAge{2500};
-// A confirmed configuration has to be in force within 2 s. The store is known
-// to have nothing newer each 0.9 s, and others hear of that within 0.6 s.
+// A confirmed configuration has to be in force within 2 s. Readers of the store
+// confirm every 0.9 s that nothing is newer, and the other nodes learn of it
+// within 0.6 s.
 constexpr milliseconds kMaxConfirmationAge{1800};
 constexpr milliseconds kMaxAge{std::chrono::minutes(1)};
 
@@ -77,8 +79,8 @@
     return true;
   if (change.from_version != 0 && change.from_version != version())
     return false;
-  const RoutingConfig none;
-  Activate(change.ApplyTo(config() ? *config() : none));
+  const RoutingConfig empty;
+  Activate(change.ApplyTo(config() ? *config() : empty));
   if (change.store_next)
     m_store_next = change.store_next;
   return true;
@@ -126,18 +128,19 @@
 }
 
 Task<> ConfigFollower::ReadOnce(milliseconds wait) {
-  MeshStore::ConfigDocument read;
+  MeshStore::ConfigDocument stored;
   if (m_store_next)
-    read = co_await m_store.AwaitConfig(*m_store_next, wait);
+    stored = co_await m_store.AwaitConfig(*m_store_next, wait);
   else
-    read = co_await m_store.ReadConfig();
+    stored = co_await m_store.ReadConfig();
   OnStoreAnswered();
-  if (read.is_newest)
+  if (stored.is_newest)
     OnVersionReported(0, milliseconds(0));
-  if (read.bytes)
-    OnDocument(*read.bytes);
-  // A change from another node may have come meanwhile, from further on.
-  m_store_next = std::max(m_store_next.value_or(0), read.next_position);
+  if (stored.bytes)
+    OnDocument(*stored.bytes);
+  // Meanwhile a change from another node may have moved the position further
+  // on.
+  m_store_next = std::max(m_store_next.value_or(0), stored.next_position);
 }
 
 void ConfigFollower::ResetStorePosition(const char* reason) {
@@ -148,7 +151,7 @@
 
 Task<> ConfigFollower::FollowStore() {
   boost::asio::steady_timer timer(m_loop);
-  // Whoever has just begun is asked soon whether the store answers it.
+  // The first call returns at once, to find out soon whether the store answers.
   milliseconds wait{0};
   while (true) {
     milliseconds pause{0};
@@ -163,7 +166,7 @@
         ResetStorePosition(error.what());
         pause = kDelayAfterFailure;
       } catch (const StoreMalformedAnswerError& error) {
-        // The same bytes would come again.
+        // Reading from the same position would return the same bytes.
         ResetStorePosition(error.what());
         pause = kDelayAfterFailure;
       } catch (const StoreError& error) {
--- a/modules/transport/mesh/config_follower.h
+++ b/modules/transport/mesh/config_follower.h
@@ -21,13 +21,14 @@
 class ConfigDecoder;
 class MeshStore;
 
-// The operators' configuration in force at this node: the newest version that
-// came from the store or from another node. Never an older one again.
+// Keeps the operators' configuration that is in force at this node: the newest
+// version received from the store or from another node. It never goes back to
+// an older version.
 //
-// Reads the store only while told to: the leader and two more nodes do, and
-// whoever hears from no leader or got nothing from the source that was named.
-// All others get the difference to what they have from a node that has it: see
-// ConfigTransfer. On the event loop.
+// The store is read only while `is_wanted` says so: by the leader and two more
+// nodes, and by any node that hears from no leader or got nothing from its
+// assigned source. All others fetch the difference to their version from a node
+// that has the newest one; see ConfigTransfer. Runs on the event loop.
 class ConfigFollower {
  public:
   class Listener {
@@ -42,47 +43,51 @@
                  const ConfigDecoder& decoder,
                  Listener& listener);
 
-  // Whether the store is to be read is asked again before each call to it.
+  // `is_wanted` is called before each call to the store and returns whether to
+  // read it.
   void Start(std::function<bool()> is_wanted);
 
-  // From another node. False if it leads from another version than this node
-  // has; one that brings nothing new is dropped.
+  // Applies a change received from another node. Returns false if it starts
+  // from a version other than this node's; a change that is not newer is
+  // ignored.
   bool ApplyChange(const ConfigChange& change);
   bool IsInHistory(std::uint64_t version) const {
     return m_history.Contains(version);
   }
-  // What leads from that version to this node's. Needs a configuration.
+  // Returns the change from `version` to this node's version. Requires a
+  // configuration.
   ConfigChange ChangeFrom(std::uint64_t version) const;
 
-  // Another node has that version, and knew `age` ago that none was newer.
+  // Another node has `version`, and knew `age` ago that it was the newest.
+  // Version 0 and age 0 if the store has just shown that nothing is newer.
   void OnVersionReported(std::uint64_t version, std::chrono::milliseconds age);
-  // For so long this node has not known that none is newer.
+  // Time since this node last knew that no newer version exists.
   std::chrono::milliseconds age() const;
-  // A route that is missing here may be in force: this node knows of a newer
-  // version than its own, or has not known for too long that there is none.
+  // A route missing here may be in force elsewhere: this node knows of a newer
+  // version than its own, or its knowledge that there is none is too old.
   bool MayBeStale() const;
 
-  // Nothing until the first one.
+  // Null until the first configuration.
   const std::shared_ptr<const RoutingConfig>& config() const {
     return m_history.newest();
   }
   std::uint64_t version() const { return m_history.version(); }
-  // Nothing where there is none, or no configuration yet. Of config(): it ends
-  // with it.
+  // Null if there is no such route or no configuration yet. The route is part
+  // of config() and is valid as long as that is.
   const RouteRule* FindRoute(std::string_view host,
                              std::string_view path) const;
-  // The newest version that this node has heard of.
+  // The newest version that any node has reported to this one.
   std::uint64_t newest_known() const { return m_newest_known; }
-  // It answered another call of this node: a long document may still be on its
-  // way.
+  // The store answered another call of this node; a long document may still be
+  // in transit.
   void OnStoreAnswered();
-  // The store answered lately.
+  // The store answered recently.
   bool is_store_answering() const;
 
  private:
   Task<> FollowStore();
   Task<> ReadOnce(std::chrono::milliseconds wait);
-  // The store is read anew.
+  // Makes the next read fetch the whole document again.
   void ResetStorePosition(const char* reason);
   void OnDocument(const std::string& document);
   void Activate(RoutingConfig config);
@@ -96,10 +101,10 @@
   ConfigHistory m_history;
   std::optional<RouteIndex> m_routes;
   std::uint64_t m_newest_known = 0;
-  // When it was last known that none is newer; nothing: never yet.
+  // When this node last knew that no newer version exists; nothing: never.
   std::optional<Clock::TimePoint> m_last_confirmed_newest;
-  // From where the store is followed; nothing: it has to be read anew. Kept
-  // when a call fails: what was read need not be read again.
+  // Position from which to follow the store; nothing: read the whole document.
+  // Kept when a call fails, so that nothing is read twice.
   std::optional<std::uint64_t> m_store_next;
   bool m_store_answered = false;
   Clock::TimePoint m_last_store_answer;
--- a/modules/transport/mesh/config_follower_test.cc
+++ b/modules/transport/mesh/config_follower_test.cc
@@ -22,7 +22,7 @@
 
 using std::chrono::milliseconds;
 
-// A document is its version, as text.
+// Decodes a document that consists of its version number as text.
 class NumberDecoder final : public ConfigDecoder {
  public:
   RoutingConfig Decode(const std::string& document) const override {
@@ -32,7 +32,8 @@
   }
 };
 
-// Gives what a test has put down, one after the other, then nothing.
+// Plays the steps of a test one after the other, then returns no more
+// documents.
 class ScriptedStore final : public MeshStore {
  public:
   enum class Event { kDocument, kUnanswered, kHistoryGone, kUnreadable };
@@ -60,7 +61,7 @@
   }
 
   std::deque<Step> steps;
-  // From where each call read; nothing: the newest, anew.
+  // Start position of each call; nothing: the whole newest document.
   std::vector<std::optional<std::uint64_t>> asked;
 
  private:
@@ -105,7 +106,7 @@
   std::vector<std::uint64_t> in_force;
 };
 
-// Has version 4, and does not read the store.
+// Has version 4 and does not read the store.
 struct ManualFollowerFixture {
   ManualFollowerFixture() {
     ConfigChange change;
@@ -121,7 +122,8 @@
   ConfigFollower follower{loop, clock, store, decoder, listener};
 };
 
-// The least that any of the users' pages gives a confirmed configuration.
+// The shortest time that any user document allows for applying a confirmed
+// configuration.
 constexpr milliseconds kShortestConfigApply{2000};
 
 using Event = ScriptedStore::Event;
@@ -129,13 +131,16 @@
 
 }  // namespace
 
-// Guards against a whole document that is read again after each failed call.
-TEST_CASE_FIXTURE(FollowerFixture, "a failed call goes on from its position") {
+// Guards against reading the whole document again after each failed call.
+TEST_CASE_FIXTURE(FollowerFixture,
+                  "a failed call is repeated from its position") {
   Play({{Event::kDocument, "4", 7}, {Event::kUnanswered, "", 0}});
   CHECK(store.asked == Asked{std::nullopt, 7, 7});
 }
 
-TEST_CASE_FIXTURE(FollowerFixture, "a trimmed history is read anew") {
+TEST_CASE_FIXTURE(
+    FollowerFixture,
+    "the whole document is read again once the history is trimmed") {
   Play({{Event::kDocument, "4", 7},
         {Event::kHistoryGone, "", 0},
         {Event::kDocument, "9", 12}});
@@ -143,9 +148,10 @@
   CHECK(in_force == std::vector<std::uint64_t>{4, 9});
 }
 
-// Guards against bytes that can't be read and are asked for again for ever.
+// Guards against requesting an unreadable document from the same position
+// forever.
 TEST_CASE_FIXTURE(FollowerFixture,
-                  "what can't be read is not asked for again") {
+                  "an unreadable document is not requested again") {
   Play({{Event::kDocument, "4", 7}, {Event::kUnreadable, "", 0}});
   CHECK(store.asked == Asked{std::nullopt, 7, std::nullopt});
 }
@@ -155,8 +161,10 @@
   CHECK(in_force == std::vector<std::uint64_t>{9});
 }
 
-// Guards against a node that reads from the store what another has brought it.
-TEST_CASE_FIXTURE(FollowerFixture, "a change brings its place in the store") {
+// Guards against reading a version from the store that another node has already
+// delivered.
+TEST_CASE_FIXTURE(FollowerFixture,
+                  "a change carries its position in the store") {
   ConfigChange change;
   change.to_version = 5;
   change.store_next = 31;
@@ -165,7 +173,7 @@
   CHECK(store.asked == Asked{31});
 }
 
-// Guards against a configuration that is mixed of two versions.
+// Guards against a configuration mixed from two versions.
 TEST_CASE_FIXTURE(FollowerFixture, "a change from another version is refused") {
   ConfigChange change;
   change.from_version = 3;
@@ -174,9 +182,9 @@
   CHECK(follower.version() == 0);
 }
 
-// Guards against 404 for a route that the next version has.
+// Guards against a 404 response for a route that exists in the next version.
 TEST_CASE_FIXTURE(FollowerFixture,
-                  "a node that knows of a newer version may be behind") {
+                  "a node that knows of a newer version may be outdated") {
   Play({{Event::kDocument, "4", 7}});
   CHECK_FALSE(follower.MayBeStale());
   follower.OnVersionReported(5, milliseconds(0));
@@ -187,18 +195,20 @@
   CHECK_FALSE(follower.MayBeStale());
 }
 
-// Guards against a leader without the store whose replies make all others sure.
-TEST_CASE_FIXTURE(ManualFollowerFixture,
-                  "hearing from who knows nothing lately proves nothing") {
+// Guards against a leader without access to the store whose replies make the
+// other nodes consider their version the newest.
+TEST_CASE_FIXTURE(
+    ManualFollowerFixture,
+    "a report based on old knowledge does not show that none is newer") {
   follower.OnVersionReported(4, kShortestConfigApply);
   CHECK(follower.MayBeStale());
 }
 
-// Guards against 404 for a route that was confirmed just after this node last
-// heard of a version: the shortest time that users allow has passed since.
+// Guards against a 404 response for a route that was confirmed just after this
+// node last heard of a version, with the shortest time that users allow since.
 TEST_CASE_FIXTURE(
     ManualFollowerFixture,
-    "what was heard too long ago is no proof that a route is missing") {
+    "a report that is too old does not show that a route is missing") {
   follower.OnVersionReported(4, milliseconds(0));
   REQUIRE_FALSE(follower.MayBeStale());
   clock.Advance(kShortestConfigApply);
--- a/modules/transport/mesh/config_transfer.cc
+++ b/modules/transport/mesh/config_transfer.cc
@@ -55,83 +55,85 @@
 }
 
 Task<> ConfigTransfer::Fetch(std::string source,
-                             std::uint64_t number,
+                             std::uint64_t fetch_number,
                              std::function<void()> on_end) {
   const Clock::TimePoint began = m_clock.Now();
   const std::uint64_t previous = m_config.version();
   std::string failure;
   try {
-    co_await FetchOnce(source, number);
+    co_await FetchOnce(source, fetch_number);
   } catch (const std::exception& error) {
     failure = error.what();
   }
-  const auto took =
+  const auto elapsed =
       std::chrono::duration_cast<milliseconds>(m_clock.Now() - began);
-  // What was wanted may have come another way meanwhile.
+  // Another source may have delivered the configuration meanwhile.
   const bool has_failed = !failure.empty() && m_config.version() == previous;
   if (has_failed) {
     spdlog::warn(
         "event=config-fetch-failed source={} have={} took_ms={} "
         "reason=\"{}\"",
-        source, previous, took.count(), failure);
+        source, previous, elapsed.count(), failure);
   } else {
     spdlog::info("event=config-fetched source={} from={} to={} took_ms={}",
-                 source, previous, m_config.version(), took.count());
+                 source, previous, m_config.version(), elapsed.count());
   }
-  if (number != m_last_fetch_number)
+  if (fetch_number != m_last_fetch_number)
     co_return;
   m_has_failed = has_failed;
   m_is_fetching = false;
   on_end();
 }
 
-Task<> ConfigTransfer::FetchOnce(std::string source, std::uint64_t number) {
+Task<> ConfigTransfer::FetchOnce(std::string source,
+                                 std::uint64_t fetch_number) {
   const HttpAddress address = HttpAddress::Parse(source);
   HttpRequest request;
   request.method = "POST";
   request.target = kPath;
   request.body = ConfigChangeCodec::EncodeRequest(m_config.version());
   auto connection = co_await m_peers.Take(address, kMaxConnectionIdle);
-  if (number != m_last_fetch_number)
-    throw MalformedMessageError("another source was named");
+  if (fetch_number != m_last_fetch_number)
+    throw MalformedMessageError("superseded by a transfer from another source");
   m_connection = connection.get();
   HttpResponse response;
   try {
     response = co_await connection->CallForLongAnswer(
         std::move(request), kFirstByteTimeout, kProgressTimeout);
   } catch (...) {
-    if (number == m_last_fetch_number)
+    if (fetch_number == m_last_fetch_number)
       m_connection = nullptr;
     throw;
   }
-  if (number == m_last_fetch_number)
+  if (fetch_number == m_last_fetch_number)
     m_connection = nullptr;
   m_peers.GiveBack(address, std::move(connection));
   if (response.head.status != kOk) {
     throw MalformedMessageError(source + " answered " +
                                 std::to_string(response.head.status));
   }
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kConfig);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kConfig);
   if (!m_config.ApplyChange(ConfigChangeCodec::Decode(response.body)))
-    throw MalformedMessageError("a change from another version");
+    throw MalformedMessageError(
+        "the change starts from a version that this node does not have");
 }
 
 HttpResponse ConfigTransfer::HandleRequest(const HttpRequest& request) {
   const std::uint64_t version = ConfigChangeCodec::DecodeRequest(request.body);
   if (m_config.version() <= version)
     return HttpResponse::WithStatus(kNothingNewer);
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kConfig);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kConfig);
   if (m_cached_version != m_config.version()) {
     m_cached_responses.clear();
     m_cached_version = m_config.version();
   }
   const std::uint64_t from = m_config.IsInHistory(version) ? version : 0;
-  std::string& answer = m_cached_responses[from];
-  if (answer.empty())
-    answer = ConfigChangeCodec::Encode(m_config.ChangeFrom(from));
-  return HttpResponse::WithStatus(kOk, answer);
+  std::string& response = m_cached_responses[from];
+  if (response.empty())
+    response = ConfigChangeCodec::Encode(m_config.ChangeFrom(from));
+  return HttpResponse::WithStatus(kOk, response);
 }
 
 }  // namespace citrongrade
--- a/modules/transport/mesh/config_transfer.h
+++ b/modules/transport/mesh/config_transfer.h
@@ -21,11 +21,11 @@
 class ConfigFollower;
 class LoopMonitor;
 
-// Brings the configuration from node to node: fetches the difference to what
-// this node has from the source that the leader names, and answers nodes that
-// were sent here. In calls of its own, so that heartbeats carry none of it and
-// wait for none. On the event loop. Kin: ConfigSpread, by which the leader
-// names sources.
+// Transfers the configuration between nodes: fetches the difference to this
+// node's version from the source that the leader assigns, and answers nodes
+// that were directed here. It uses calls of its own, so that heartbeats neither
+// carry configuration nor wait for it. Runs on the event loop. See also
+// ConfigDistributor, with which the leader assigns sources.
 class ConfigTransfer {
  public:
   static constexpr const char* kPath = "/mesh/config";
@@ -36,11 +36,11 @@
                  AsyncConnectionPool& peers,
                  LoopMonitor& monitor);
 
-  // In place of a transfer that is under way. `on_end` is called when it has
-  // ended by itself, whether it brought anything or not.
+  // Replaces a transfer in progress. `on_end` is called when the transfer ends
+  // by itself, successful or not; it is not called for a replaced transfer.
   void FetchFrom(const std::string& source, std::function<void()> on_end);
   bool is_fetching() const { return m_is_fetching; }
-  // Whether the last one failed; once asked, it is forgotten.
+  // Returns whether the last transfer failed, and clears that state.
   bool TakeHasFailed();
 
   // Throws MalformedMessageError.
@@ -48,21 +48,21 @@
 
  private:
   Task<> Fetch(std::string source,
-               std::uint64_t number,
+               std::uint64_t fetch_number,
                std::function<void()> on_end);
-  Task<> FetchOnce(std::string source, std::uint64_t number);
+  Task<> FetchOnce(std::string source, std::uint64_t fetch_number);
 
   boost::asio::io_context& m_loop;
   const Clock& m_clock;
   ConfigFollower& m_config;
   AsyncConnectionPool& m_peers;
   LoopMonitor& m_monitor;
-  // Of the transfer that was begun last.
+  // Number of the transfer started last.
   std::uint64_t m_last_fetch_number = 0;
   AsyncHttpConnection* m_connection = nullptr;
   bool m_is_fetching = false;
   bool m_has_failed = false;
-  // Answers to those that come from one version or another to m_answers_for.
+  // Encoded changes to m_cached_version, by the version they start from.
   std::map<std::uint64_t, std::string> m_cached_responses;
   std::uint64_t m_cached_version = 0;
 };
