--- a/modules/coordination/mesh/leadership_lease.cc
+++ b/modules/coordination/mesh/leadership_lease.cc
@@ -41,7 +41,8 @@
   ends.reserve(voters.size());
   for (const std::string& voter : voters) {
     const auto found = m_promise_ends.find(voter);
-    // The leader's own vote needs no promise: it would have to break it itself.
+    // The leader's own vote can't expire: the leader itself would have to give
+    // it to another candidate first.
     if (voter == m_self)
       ends.push_back(Clock::TimePoint::max());
     else
--- a/modules/coordination/mesh/leadership_lease.h
+++ b/modules/coordination/mesh/leadership_lease.h
@@ -8,15 +8,16 @@
 
 namespace citrongrade {
 
-// Until when a leader may act: as long as more than half of the voters have
-// promised their vote to it.
+// Computes until when a leader may act: as long as more than half of the voters
+// have promised it their vote.
 //
-// A promise counts from a moment that the leader knows to lie before it: the
-// stamp of the reply that the voter had when it promised. While a change of the
-// voters is being stored, more than half of the old and of the new ones are
-// needed, so it does not matter whether the change took effect.
+// A promise counts from a time that the leader knows to be no later than the
+// promise itself: the timestamp in the last reply that the voter had received
+// when it promised. While a change of the voter set is being stored, a majority
+// of both the old and the new voters is needed, so that it does not matter
+// whether the change has taken effect.
 //
-// Thread-confined. Kin: VotePromise.
+// Not thread-safe. See also VotePromise.
 class LeadershipLease {
  public:
   LeadershipLease(const Clock& clock,
@@ -25,10 +26,11 @@
                   std::string self);
 
   void SetVoters(std::vector<std::string> voters);
-  // Until SetVoters(), a majority of these is needed as well.
+  // Additionally requires a majority of these voters until SetVoters() is
+  // called.
   void SetPendingVoters(std::vector<std::string> voters);
 
-  // `not_after`: the voter promised then or later.
+  // `not_after`: a time that is no later than the promise.
   void OnPromise(const std::string& voter, Clock::TimePoint not_after);
   void OnPromiseWithdrawn(const std::string& voter);
 
--- a/modules/coordination/mesh/lease_duration_controller.cc
+++ b/modules/coordination/mesh/lease_duration_controller.cc
@@ -10,14 +10,17 @@
 
 using std::chrono::milliseconds;
 
-// A run should find so many times the mean work left of the hold: work spreads
-// widely, and few runs take longer than that.
+// When a request starts, its target's hold should last at least this many times
+// the mean service time. Service times vary widely, but few requests take
+// longer than that.
 constexpr int kServiceTimesPerHold = 3;
-// Leases change by this much at least: each change is a write of the record.
+// Smallest change of the lease duration. Each change requires a write of the
+// record.
 constexpr milliseconds kStep{100};
 
-// What a lease has lost by the time a run begins, at worst: its age, the age of
-// the hold that was granted by it, and the time that the grant may have taken.
+// Worst-case part of a lease that is used up when a request starts: the age of
+// the lease, the age of the hold granted under it, and the time that the grant
+// call may have taken.
 milliseconds MaxLeaseUsedBeforeRequest(const MeshTiming& timing) {
   return timing.heartbeat_interval + PushHoldTracker::kRenewalInterval +
          PushHoldTracker::kCallTimeout;
@@ -39,20 +42,20 @@
     std::vector<milliseconds> means) {
   if (means.empty())
     return;
-  // The median: a few targets that are slow for a while don't lengthen the
-  // leases of all.
+  // Uses the median, so that a few targets that are slow for a while don't
+  // lengthen all leases.
   const auto middle =
       means.begin() + static_cast<std::ptrdiff_t>(means.size() / 2);
   std::nth_element(means.begin(), middle, means.end());
   const milliseconds needed =
       *middle * kServiceTimesPerHold + MaxLeaseUsedBeforeRequest(m_timing);
-  const milliseconds wanted =
+  const milliseconds desired =
       std::clamp(needed, m_timing.min_lease, m_timing.max_lease);
-  const bool is_longer = wanted >= m_desired + kStep;
-  const bool is_shorter = wanted + kStep <= m_desired;
+  const bool is_longer = desired >= m_desired + kStep;
+  const bool is_shorter = desired + kStep <= m_desired;
   if (!is_longer && !is_shorter)
     return;
-  m_desired = wanted;
+  m_desired = desired;
   m_desired_since = m_clock.Now();
 }
 
@@ -61,11 +64,11 @@
 }
 
 milliseconds LeaseDurationController::DurationToStore() const {
-  const bool have_longer_ended =
+  const bool have_longer_leases_ended =
       m_clock.Now() - m_desired_since >
       MaxDurationInForce() + m_timing.max_clock_drift;
-  return m_desired > m_stored_max || have_longer_ended ? m_desired
-                                                       : m_stored_max;
+  return m_desired > m_stored_max || have_longer_leases_ended ? m_desired
+                                                              : m_stored_max;
 }
 
 }  // namespace citrongrade
--- a/modules/coordination/mesh/lease_duration_controller.h
+++ b/modules/coordination/mesh/lease_duration_controller.h
@@ -9,40 +9,43 @@
 
 namespace citrongrade {
 
-// For how long a leader grants leases, by how long the targets' work takes.
+// Chooses the duration of the leases that a leader grants, based on the
+// targets' service times.
 //
-// Load pattern: work that takes longer than what is left of its target's hold
-// when it begins. The target ends it with a failure, and renewing the hold
-// meanwhile does not save it. A long lease avoids that, but the keys of a lost
-// node are unserved for as long: so leases are as long as the work calls for,
-// and no longer than MeshTiming::longest_lease.
+// It addresses requests that take longer than the rest of their target's hold.
+// The target aborts such a request with an error, even if the hold is renewed
+// in the meantime. A long lease avoids this, but the keys of a lost node stay
+// unserved for as long. Leases are therefore only as long as the service times
+// require, and never longer than MeshTiming::max_lease.
 //
-// A later leader has to know how long any lease may last. So a longer one is
-// granted only once the mesh's record says so, and the record says it until the
-// last of them has run out.
+// A later leader has to know how long any lease may last. A longer lease is
+// therefore granted only once the stored mesh record contains its duration, and
+// the record keeps the value until the last such lease has expired.
 //
-// How to use it: OnWork() now and then; grant ToGrant(). Store ToStore() with
-// the record, and tell when that begins and when it took effect.
+// Usage: call UpdateServiceTimes() regularly and grant leases of
+// DurationToGrant(). Store DurationToStore() with the record, and report the
+// start and the completion of the write.
 //
-// Thread-confined, no input or output. Kin: MeshLeader, which grants.
+// Not thread-safe; does no I/O. See also MeshLeader, which grants the leases.
 class LeaseDurationController {
  public:
-  // `stored`: what the record says that this leader has claimed.
+  // `stored`: the maximum lease duration in the record that this leader has
+  // claimed.
   LeaseDurationController(const Clock& clock,
                           const MeshTiming& timing,
                           std::chrono::milliseconds stored);
 
-  // Mean time of a request at each target whose keys are given out.
+  // `means`: mean service time of each target that owns keys.
   void UpdateServiceTimes(std::vector<std::chrono::milliseconds> means);
 
   std::chrono::milliseconds DurationToGrant() const;
-  // What the record is to say: any lease lasts at most so long.
+  // Upper bound of all leases, to be written to the record.
   std::chrono::milliseconds DurationToStore() const;
-  void OnStoreStarted(std::chrono::milliseconds longest) {
-    m_pending_max = longest;
+  void OnStoreStarted(std::chrono::milliseconds max_lease) {
+    m_pending_max = max_lease;
   }
   void OnStoreCompleted() { m_stored_max = m_pending_max; }
-  // Any lease that may be in force lasts at most so long.
+  // Upper bound of every lease that may be in force.
   std::chrono::milliseconds MaxDurationInForce() const {
     return std::max(m_stored_max, m_pending_max);
   }
@@ -51,10 +54,11 @@
   const Clock& m_clock;
   const MeshTiming m_timing;
   std::chrono::milliseconds m_stored_max;
-  // On its way to the store: either of the two may be what the record says.
+  // Value in the record being written. Until the write completes, the record
+  // may contain either this value or m_stored_max.
   std::chrono::milliseconds m_pending_max;
   std::chrono::milliseconds m_desired;
-  // Since when no longer lease than this is wanted.
+  // Time at which m_desired last changed.
   Clock::TimePoint m_desired_since;
 };
 
--- a/modules/coordination/mesh/mesh_leader.cc
+++ b/modules/coordination/mesh/mesh_leader.cc
@@ -8,26 +8,32 @@
 
 namespace {
 
-// Until a target has shown how long it takes.
+// Assumed until a target has reported its mean service time.
 constexpr double kDefaultServiceTimeSeconds = 0.15;
-// A target that is still slow after its start does so much.
+// Share of its capacity that a target reaches during its cold start.
 constexpr double kColdCapacityFactor = 0.5;
-// Crashes are told to every node once; older ones are known by then.
+// Maximum number of crash suspects that a leader passes on. It sends each one
+// to every node once and passes on none that are reported after that.
 constexpr std::size_t kMaxCrashSuspects = 1024;
-// A node that is to read the store has its first answer within this.
+// Time in which a new store reader has to get its first answer from the store.
 constexpr std::chrono::milliseconds kStoreReaderTimeout{600};
-// After so many in a row without an answer, those on weak hosts are tried too.
+// After this many consecutive readers without an answer, less fit hosts are
+// tried as well.
 constexpr unsigned kMaxFailedFitReaders = 6;
-// Moves that are over stand in the record as if they still went on for at most
-// this long. Each is then asked for again by the next leader: an order more. To
-// store each at once would double the writes.
+// Maximum time for which the stored record shows completed moves as still in
+// progress. The next leader requests each of these moves again, at the cost of
+// one extra command. Storing each completion at once would double the writes.
 constexpr std::chrono::milliseconds kMaxCompletedMoveDelay{1000};
-// A leader gives way to a host that is so many times as fit.
+// A leader resigns in favour of a host whose fitness is at least this many
+// times its own.
 constexpr std::uint32_t kMinFitnessRatio = 2;
-// And no sooner than this: longer than a lease, so that what the change of
-// leader before left to be done is done, and whoever is named has stayed.
+// Minimum time for which a leader leads, and for which its successor has been
+// present, before the leader resigns to it. It is longer than a lease, so that
+// the work left by the previous change of leader is done and only nodes that
+// stay are chosen.
 constexpr std::chrono::milliseconds kMinLeaderTenure{3000};
-// Keys stay where they are until most nodes have had time to report.
+// Delay after a change of leader in which no keys are assigned, so that most
+// nodes have sent a heartbeat.
 constexpr std::chrono::milliseconds kFirstHeartbeatsDelay{700};
 
 double CapacityOf(const Heartbeat& last) {
@@ -85,7 +91,8 @@
   Node& node = found->second;
   const bool is_restart =
       !is_new && node.last_heartbeat.incarnation != heartbeat.incarnation;
-  // A heartbeat that was overtaken says what is no longer so.
+  // Ignores a heartbeat that arrives out of order, because its content is
+  // outdated.
   if (!is_new && !is_restart &&
       heartbeat.sequence <= node.last_heartbeat.sequence)
     return;
@@ -137,9 +144,10 @@
   const SlotAssignment& now = change.assignment;
   const NextOwner next{now.owner, now.incarnation, now.fence};
   const auto stored = table->second.AssignmentsIn(now.range);
-  return std::all_of(
-      stored.begin(), stored.end(),
-      [&next](const SlotAssignment& run) { return run.next == next; });
+  return std::all_of(stored.begin(), stored.end(),
+                     [&next](const SlotAssignment& assignment) {
+                       return assignment.next == next;
+                     });
 }
 
 bool MeshLeader::IsStoreReader(const std::string& address) const {
@@ -176,13 +184,14 @@
            !entry.second.last_heartbeat.is_leaving &&
            !IsStoreReader(entry.first);
   };
-  // A long document takes a weak host's link and loop for most of a second.
-  std::uint32_t least_merit = 0;
+  // Excludes less fit hosts: a long configuration document occupies a weak
+  // host's network link and event loop for most of a second.
+  std::uint32_t min_fitness = 0;
   if (m_failed_reader_choices < kMaxFailedFitReaders) {
     for (const auto& entry : m_nodes) {
       if (is_eligible(entry))
-        least_merit = std::max(
-            least_merit, entry.second.last_heartbeat.leader_fitness_milli);
+        min_fitness = std::max(
+            min_fitness, entry.second.last_heartbeat.leader_fitness_milli);
     }
   }
   auto next = m_nodes.upper_bound(previous);
@@ -190,7 +199,7 @@
     if (next == m_nodes.end())
       next = m_nodes.begin();
     if (is_eligible(*next) &&
-        next->second.last_heartbeat.leader_fitness_milli >= least_merit)
+        next->second.last_heartbeat.leader_fitness_milli >= min_fitness)
       return next->first;
   }
   return {};
@@ -216,7 +225,7 @@
   Node& node = found->second;
   const std::chrono::milliseconds lease = m_lease_duration.DurationToGrant();
   reply.lease_ms = static_cast<std::uint32_t>(lease.count());
-  // An earlier one may have been longer.
+  // An earlier lease may have been longer.
   node.lease_until =
       std::max(node.lease_until, now + lease + m_timing.max_clock_drift);
   reply.reads_store = IsStoreReader(heartbeat.address);
@@ -232,7 +241,8 @@
   if (m_has_resigned || heartbeat.is_urgent ||
       heartbeat.epoch != m_view.epoch())
     return true;
-  // What concerns the node itself can't wait for the next news for all.
+  // A change to the node's own keys can't wait for the next update to all
+  // nodes.
   const auto concerned = m_required_view_versions.find(heartbeat.address);
   return concerned != m_required_view_versions.end() &&
          concerned->second > heartbeat.view_version;
@@ -275,16 +285,18 @@
   m_view.SetMember(member);
 }
 
-bool MeshLeader::HasOwnershipExpired(const SlotAssignment& run) const {
+bool MeshLeader::HasOwnershipExpired(const SlotAssignment& assignment) const {
   const Clock::TimePoint now = m_clock.Now();
-  const auto found = m_nodes.find(run.owner);
-  // The leader before may have granted it a lease up to the very end.
+  const auto found = m_nodes.find(assignment.owner);
+  // The previous leader may have granted the node a lease until the end of its
+  // leadership.
   if (found == m_nodes.end())
     return now > m_previous_leases_end;
   const Node& node = found->second;
   switch (node.last_heartbeat.target.state) {
     case Heartbeat::TargetState::kUnknown:
-      // Its process is new: what an earlier one granted runs out meanwhile.
+      // The node's process is new; the leases of its earlier process expire in
+      // the meantime.
       return now > m_previous_leases_end &&
              now - node.first_heard > m_lease_duration.MaxDurationInForce() +
                                           m_timing.max_clock_drift;
@@ -292,7 +304,7 @@
       return true;
     case Heartbeat::TargetState::kServing:
     case Heartbeat::TargetState::kDraining:
-      if (node.last_heartbeat.target.incarnation != run.incarnation)
+      if (node.last_heartbeat.target.incarnation != assignment.incarnation)
         return true;
       return now > std::max(node.lease_until, m_previous_leases_end) &&
              IsTimedOut(node);
@@ -336,8 +348,9 @@
 
 void MeshLeader::UpdateAssignments() {
   m_assigner.SetMembers(AssignableMembers());
-  m_assigner.UnassignLostOwners(
-      [this](const SlotAssignment& run) { return HasOwnershipExpired(run); });
+  m_assigner.UnassignLostOwners([this](const SlotAssignment& assignment) {
+    return HasOwnershipExpired(assignment);
+  });
   if (!IsPlacementAllowed())
     return;
   m_assigner.AssignUnowned();
@@ -348,8 +361,8 @@
   m_round_started = m_clock.Now();
   m_lease_duration.UpdateServiceTimes(MeanServiceTimes());
   m_assigner.EndMeasurementRound(std::chrono::duration<double>(round).count());
-  // Keys that are given back can't be given on while the store is away: they
-  // would be nobody's until it is back.
+  // Doesn't rebalance while the store is unavailable: released keys could not
+  // be assigned again and would stay without an owner until the store is back.
   const auto self = m_nodes.find(m_self);
   if (self != m_nodes.end() && self->second.last_heartbeat.is_store_answering)
     m_assigner.PlanRebalancing();
@@ -372,8 +385,8 @@
 std::vector<std::string> MeshLeader::DesiredVoters() const {
   std::set<std::string> wanted{m_self};
   const Clock::TimePoint now = m_clock.Now();
-  // One that has just started promises nothing yet: with it, half of the votes
-  // of a young mesh would be missing.
+  // A node that has just started doesn't promise its vote yet. If it became a
+  // voter at once, half of the votes would be missing in a new mesh.
   for (const auto& [address, node] : m_nodes) {
     if (now - node.last_heard < m_timing.voter_timeout && node.has_promised)
       wanted.insert(address);
@@ -422,7 +435,8 @@
 }
 
 void MeshLeader::OnStored() {
-  // The caller reports the end of a write that RecordToStore() did not begin.
+  // The caller also reports the end of writes that RecordToStore() did not
+  // start.
   if (!m_pending_record)
     return;
   m_stored_record = *std::exchange(m_pending_record, std::nullopt);
@@ -433,15 +447,17 @@
 }
 
 void MeshLeader::PublishAssignment(const KeyAssigner::Change& change) {
-  // Only what still stands: its owner may have been lost while it was being
-  // stored, and would hold keys that the next change gives to another.
+  // Publishes only what is still current. If the owner was lost while the
+  // change was being stored, it would otherwise hold keys that the next change
+  // assigns to another node.
   const KeyTable& current = m_assigner.tables().at(change.service);
-  for (SlotAssignment run : current.AssignmentsIn(change.assignment.range)) {
-    if (!run.SameAssignment(change.assignment))
+  for (SlotAssignment assignment :
+       current.AssignmentsIn(change.assignment.range)) {
+    if (!assignment.SameAssignment(change.assignment))
       continue;
-    run.range = run.range.CommonPart(change.assignment.range);
-    m_view.Assign(change.service, run);
-    m_required_view_versions[run.owner] = m_view.version();
+    assignment.range = assignment.range.CommonPart(change.assignment.range);
+    m_view.Assign(change.service, assignment);
+    m_required_view_versions[assignment.owner] = m_view.version();
   }
 }
 
@@ -455,11 +471,11 @@
   for (const auto& [address, node] : m_nodes) {
     if (address == m_self || IsTimedOut(node) || node.last_heartbeat.is_leaving)
       continue;
-    const auto merit = [](const Node& one) {
+    const auto fitness = [](const Node& one) {
       return std::pair(one.last_heartbeat.is_store_answering,
                        one.last_heartbeat.leader_fitness_milli);
     };
-    if (best == nullptr || merit(node) > merit(*best))
+    if (best == nullptr || fitness(node) > fitness(*best))
       best = &node;
   }
   return best;
@@ -473,17 +489,19 @@
 std::string MeshLeader::FindFitterLeader() const {
   const auto self = m_nodes.find(m_self);
   const Clock::TimePoint now = m_clock.Now();
-  const bool may_change =
+  const bool is_change_allowed =
       now - m_leading_since > kMinLeaderTenure && !m_pending_record;
-  if (self == m_nodes.end() || !may_change || !HasAuthority())
+  if (self == m_nodes.end() || !is_change_allowed || !HasAuthority())
     return {};
   const Node* best = FindBestSuccessor();
   if (best == nullptr || !best->last_heartbeat.is_store_answering ||
       now - best->first_heard < kMinLeaderTenure)
     return {};
-  const std::uint32_t own = self->second.last_heartbeat.leader_fitness_milli;
-  const std::uint32_t others = best->last_heartbeat.leader_fitness_milli;
-  const bool is_far_fitter = others > own && others >= kMinFitnessRatio * own;
+  const std::uint32_t own_fitness =
+      self->second.last_heartbeat.leader_fitness_milli;
+  const std::uint32_t best_fitness = best->last_heartbeat.leader_fitness_milli;
+  const bool is_far_fitter = best_fitness > own_fitness &&
+                             best_fitness >= kMinFitnessRatio * own_fitness;
   return is_far_fitter ? best->last_heartbeat.address : std::string();
 }
 
--- a/modules/coordination/mesh/mesh_leader.h
+++ b/modules/coordination/mesh/mesh_leader.h
@@ -21,20 +21,22 @@
 
 namespace citrongrade {
 
-// What the one leading node of a mesh does: it hears from every node, grants it
-// a lease, publishes who is there and who owns which keys, and moves keys.
+// The work of a mesh's leader: it receives the heartbeats of all nodes, grants
+// leases to them, publishes the members and the owners of the keys, and moves
+// keys between owners.
 //
-// How to use it: make one once the mesh's record is claimed in the store. Feed
-// it heartbeats, answer them by MakeReply(), call Tick() every 50 ms or so, and
-// store what RecordToStore() gives, under the condition that nobody else wrote.
+// Usage: create it once the mesh's record has been claimed in the store. Pass
+// it all heartbeats and reply with MakeReply(), call Tick() about every 50 ms,
+// and write the result of RecordToStore() on condition that nobody else has
+// written since.
 //
-// Keys of a node are given to others only when its lease, and so every hold
-// that its target has by it, has run out for certain: a lease that the leader
-// before may have granted counts in full from the moment of this one's claim.
-// Without authority (votes of more than half) it grants and changes nothing.
+// The keys of a node are assigned to others only once its lease has certainly
+// expired, and with it every hold of its target. A lease that the previous
+// leader may have granted counts in full from the time of this leader's claim.
+// Without authority (the votes of a majority) it grants and changes nothing.
 //
-// Thread-confined, no input or output. Kin: MeshNode, its counterpart at every
-// node; LeadershipLease; KeyAssigner.
+// Not thread-safe; does no I/O. See also MeshAgent, which runs it,
+// LeadershipLease and KeyAssigner.
 class MeshLeader {
  public:
   MeshLeader(const Clock& clock,
@@ -43,40 +45,44 @@
              std::uint64_t nonce,
              const MeshRecord& claimed);
 
-  // Services whose keys are given out, from the operators' configuration.
+  // Sets the services that are sharded by key, from the operators'
+  // configuration.
   void SetShardedServices(const std::set<std::string>& services);
 
   void OnVote(const std::string& voter, Clock::TimePoint asked);
   void OnHeartbeat(const Heartbeat& heartbeat);
   HeartbeatReply MakeReply(const Heartbeat& heartbeat);
-  // Something that the node should hear at once: its own keys, an order. Other
-  // news is told to all together, now and then.
+  // True if the node has to get a reply at once, because its own keys have
+  // changed or its heartbeat requires it. Other changes are sent to all nodes
+  // together at intervals.
   bool NeedsImmediateReply(const Heartbeat& heartbeat) const;
 
   void Tick();
 
   bool HasAuthority() const;
-  // Nothing when nothing is to be stored, or one is on its way already.
+  // Returns nothing if there is nothing to store or a write is in progress.
   std::optional<MeshRecord> RecordToStore();
-  // The record on its way took effect.
+  // Call this when the write of the last RecordToStore() has taken effect.
   void OnStored();
 
-  // The store did not answer this node, but answers others: one of them should
-  // lead. From then on every reply says so.
+  // Gives up the leadership in favour of `successor`, for example because the
+  // store replies to other nodes but not to this one. All later replies report
+  // it.
   void Resign(const std::string& successor);
   bool has_resigned() const { return m_has_resigned; }
-  // Who would lead best after this node, one that the store answers if there
-  // is any; empty when there is none.
+  // The node that is best suited to lead next, preferably one that can reach
+  // the store; empty if there is none.
   std::string FindSuccessor() const;
   bool CanSuccessorReachStore() const;
-  // A node on a host that is far fitter to lead, and that has been there for a
-  // while; empty when there is none. A weak host leads when it is the first to
-  // be asked for its vote, after the loss of many: its processor, taken up by
-  // the mesh, then serves nobody, and its answers come late.
+  // A node on a host that is far better suited to lead and that has been
+  // present for a while; empty if there is none. A host with little capacity
+  // becomes leader if it is the first to request votes after many nodes were
+  // lost. The leader's work then takes up its processor, so that it serves no
+  // requests, and its replies are late.
   std::string FindFitterLeader() const;
 
   const MeshView& view() const { return m_view; }
-  // Members of the record that have not been heard of.
+  // Voters of the stored record without a recent heartbeat.
   std::vector<std::string> MissingVoters() const;
   std::size_t node_count() const { return m_nodes.size(); }
 
@@ -91,22 +97,25 @@
   };
 
   const Node* FindBestSuccessor() const;
-  bool HasOwnershipExpired(const SlotAssignment& run) const;
+  bool HasOwnershipExpired(const SlotAssignment& assignment) const;
   bool IsTimedOut(const Node& node) const;
   MeshMember::State StateOf(const Node& node) const;
   void PublishMember(const Node& node);
   void PublishBeforeStore();
   void PublishAssignment(const KeyAssigner::Change& change);
-  // The stored record names the change's owner as the next one already.
+  // True if the stored record already names the change's owner as the next
+  // owner.
   bool IsNextOwnerStored(const KeyAssigner::Change& change) const;
   bool NeedsStore() const;
   void UpdateAssignments();
-  // How long the work of targets with keys takes, by their last heartbeats.
+  // Mean service times of the targets of sharded services, from their last
+  // heartbeats.
   std::vector<std::chrono::milliseconds> MeanServiceTimes() const;
-  // Has other nodes read the store when those that should can't.
+  // Chooses other nodes to read the store if the current readers can't reach
+  // it.
   void ChooseStoreReaders();
-  // The next after `previous` on one of the fittest hosts; empty: there is
-  // none.
+  // The next node after `previous` on one of the fittest hosts; empty if there
+  // is none.
   std::string NextStoreReader(const std::string& previous) const;
   bool IsStoreReader(const std::string& address) const;
   std::vector<KeyAssigner::Member> AssignableMembers() const;
@@ -122,13 +131,14 @@
   MeshRecord m_stored_record;
   std::optional<MeshRecord> m_pending_record;
   std::vector<KeyAssigner::Change> m_pending_changes;
-  // Changes that took effect before they are stored: see IsStoredMove().
+  // Number of changes that were published before they are stored; see
+  // IsNextOwnerStored().
   std::size_t m_published_unstored = 0;
   Clock::TimePoint m_first_published_unstored;
   LeadershipLease m_leadership_lease;
-  // Of the nodes' leases, by which their targets hold keys.
+  // Duration of the nodes' leases, under which their targets hold keys.
   LeaseDurationController m_lease_duration;
-  // A lease that a leader before granted has ended by then.
+  // Time by which all leases granted by previous leaders have expired.
   const Clock::TimePoint m_previous_leases_end;
   KeyAssigner m_assigner;
   MeshView m_view;
@@ -136,18 +146,19 @@
   Clock::TimePoint m_round_started;
   bool m_has_resigned = false;
   std::string m_successor;
-  // Nodes that read the store beside this one, and since when. Two: with one,
-  // a leader and a reader that lost the store one after the other left a new
-  // configuration unread for 2.7 s.
+  // Nodes that read the store in addition to this one, and since when. There
+  // are two: with one, a new configuration stayed unread for 2.7 s when the
+  // leader and then the reader lost the store.
   struct StoreReader {
     std::string address;
     Clock::TimePoint since;
   };
   std::array<StoreReader, 2> m_store_readers;
-  // Named in a row since one of them had an answer.
+  // Number of readers chosen in a row since one of them reached the store.
   unsigned m_failed_reader_choices = 0;
   std::vector<std::uint64_t> m_crash_suspects;
-  // By node: the view version from which on it knows what concerns itself.
+  // By node: the first view version that contains all changes to the node's own
+  // keys.
   std::map<std::string, std::uint64_t> m_required_view_versions;
 };
 
--- a/modules/coordination/mesh/mesh_timing.h
+++ b/modules/coordination/mesh/mesh_timing.h
@@ -5,31 +5,36 @@
 
 namespace citrongrade {
 
-// The times by which nodes of a mesh agree who leads and who may serve.
+// Timeouts and intervals of leader election, leases and key placement.
 struct MeshTiming {
-  // A node tells the leader that it is alive this often. A quarter of the
-  // lease, so that three may get lost in a row.
+  // Interval of a node's heartbeats to the leader. It is less than a quarter of
+  // min_lease, so that three heartbeats in a row may get lost.
   std::chrono::milliseconds heartbeat_interval{250};
-  // After a heartbeat a node gives its vote to nobody else for so long. Three
-  // heartbeats and the time of one claim in the store: shorter, a slow answer
-  // would unseat the leader; longer, nobody leads for longer after its loss.
+  // After a heartbeat a node promises its vote to no other node for this long.
+  // It covers three heartbeats and one claim in the store. With a shorter time,
+  // a slow reply would depose the leader; with a longer one, the mesh would
+  // stay without a leader for longer after losing it.
   std::chrono::milliseconds vote_duration{1200};
-  // A node may let its target hold keys for so long after the heartbeat that
-  // the leader answered. Keys of a lost node are unserved for about as long, so
-  // below the 2 s that users accept; above promise and claim together, so that
-  // a change of leader lets nobody's lease run out.
+  // A node may let its target hold keys for this long, counted from when it
+  // sent the heartbeat that the leader replied to. The keys of a lost node stay
+  // unserved for about as long, so it is below the 2 s that users accept. It is
+  // longer than a vote promise and a claim together, so that no lease expires
+  // during a change of leader.
   std::chrono::milliseconds min_lease{1900};
-  // Where work takes long, leases last up to this, so that it can end within
-  // its target's hold; keys of a lost node are unserved for as long.
+  // Upper bound of leases that are extended for targets with long service
+  // times, so that a request can finish within its target's hold. The keys of a
+  // lost node stay unserved for as long.
   std::chrono::milliseconds max_lease{3000};
-  // Clocks of two nodes may drift apart by 2 % of the longest lease.
+  // Allowed drift between the clocks of two nodes: 2 % of max_lease.
   std::chrono::milliseconds max_clock_drift{60};
-  // A member that was silent for so long gets no undivided work.
+  // A member without a heartbeat for this long gets no requests of unsharded
+  // services.
   std::chrono::milliseconds member_timeout{1300};
-  // A new mesh waits so long for targets to announce themselves before it
-  // gives out keys: most are there, and the keys need not move at once.
+  // Time for which a new mesh waits for targets to register before it assigns
+  // keys. Most targets are present by then, so that few keys have to move right
+  // after the start.
   std::chrono::milliseconds initial_placement_delay{2500};
-  // A member that was away for so long loses its vote.
+  // A member without a heartbeat for this long is removed from the voters.
   std::chrono::milliseconds voter_timeout{5000};
 
   friend auto operator<=>(const MeshTiming&, const MeshTiming&) = default;
--- a/modules/coordination/mesh/polling_hold_tracker.cc
+++ b/modules/coordination/mesh/polling_hold_tracker.cc
@@ -13,8 +13,8 @@
     : TargetHoldTracker(clock, earlier) {}
 
 void PollingHoldTracker::OnMustRelease(Hold& hold) {
-  // It goes on being served until an answer has left it out: until then the
-  // target holds it, and nobody else can.
+  // The range is served until a reply omits it: until then the target holds it,
+  // and no other target can.
   hold.is_to_release = true;
 }
 
@@ -23,9 +23,9 @@
     SplitAt(held.range.first);
     SplitAt(held.range.last + 1);
   }
-  for (const ReleasedRange& freed : report.released) {
-    SplitAt(freed.range.first);
-    SplitAt(freed.range.last + 1);
+  for (const ReleasedRange& released : report.released) {
+    SplitAt(released.range.first);
+    SplitAt(released.range.last + 1);
   }
 }
 
@@ -37,11 +37,12 @@
   }
   hold.is_confirmed = false;
   if (hold.state == State::kAwaitingGrant) {
-    // No answer has named it since the last report: nothing holds it.
+    // No reply has listed the range since the last report, so the target does
+    // not hold it.
     hold.may_hold_until = {};
     return;
   }
-  // The answer was lost, came too late, or the target refused the range.
+  // The reply was lost or late, or the target refused the range.
   ++hold.ignored_replies;
   hold.state = hold.ignored_replies >= kMaxIgnoredReplies
                    ? State::kReturned
@@ -50,15 +51,16 @@
 
 void PollingHoldTracker::UpdateReleasingHold(Hold& hold,
                                              bool is_held,
-                                             const ReleasedRange* freed,
+                                             const ReleasedRange* released,
                                              Clock::TimePoint now) {
   if (is_held)
     return;
-  if (freed != nullptr) {
+  if (released != nullptr) {
     hold.state = State::kReturned;
-    // A target that hands nothing over did not touch the keys.
+    // A target that returns no handover data has not used the keys, so the
+    // previous handover is still valid.
     hold.returned_handover =
-        freed->handover.empty() ? hold.handover : freed->handover;
+        released->handover.empty() ? hold.handover : released->handover;
   } else if (now >= hold.may_hold_until) {
     hold.state = State::kReturned;
     if (!hold.is_confirmed)
@@ -74,15 +76,15 @@
         report.held.begin(), report.held.end(), [&hold](const HeldRange& held) {
           return held.range.Contains(hold.range) && held.fence == hold.fence;
         });
-    const auto freed =
+    const auto released =
         std::find_if(report.released.begin(), report.released.end(),
                      [&hold](const ReleasedRange& one) {
                        return one.range.Contains(hold.range);
                      });
     if (hold.state == State::kReleasing)
-      UpdateReleasingHold(hold, is_held,
-                          freed == report.released.end() ? nullptr : &*freed,
-                          now);
+      UpdateReleasingHold(
+          hold, is_held,
+          released == report.released.end() ? nullptr : &*released, now);
     else if (hold.state != State::kReturned)
       UpdateGrantedHold(hold, is_held);
   }
@@ -117,21 +119,22 @@
       static_cast<std::int64_t>(left.count() * kMinTargetClockRate));
   if (lease_until - Now() < kMinHold)
     return std::nullopt;
-  std::vector<Hold*> named;
+  std::vector<Hold*> listed;
   for (Hold& hold : holds()) {
     if (hold.state != State::kAwaitingGrant && hold.state != State::kHeld)
       continue;
     if (hold.is_to_release)
       hold.state = State::kReleasing;
     else
-      named.push_back(&hold);
+      listed.push_back(&hold);
   }
-  // What the target has already goes first: left out, it would be given back.
-  std::stable_partition(named.begin(), named.end(),
+  // Ranges that the target already holds come first, because it would release
+  // them if they were omitted.
+  std::stable_partition(listed.begin(), listed.end(),
                         [](const Hold* hold) { return hold->is_confirmed; });
   std::size_t bytes = 0;
   std::size_t omitted = 0;
-  for (Hold* hold : named) {
+  for (Hold* hold : listed) {
     const std::string handover =
         hold->is_confirmed ? std::string() : hold->handover;
     bytes += kGrantedRangeBytes + handover.size();
@@ -159,12 +162,13 @@
   const Clock::TimePoint now = Now();
   std::vector<ReturnedRange> returned;
   for (Hold& hold : holds()) {
-    // A target that has fallen silent holds nothing after its last answer.
+    // A target that stops reporting holds nothing once its last reply has
+    // expired.
     const bool has_run_out = now >= hold.may_hold_until;
-    const bool waits =
+    const bool is_release_open =
         hold.state == State::kReleasing ||
         (hold.state == State::kAwaitingGrant && hold.is_to_release);
-    if (waits && has_run_out)
+    if (is_release_open && has_run_out)
       hold.state = State::kReturned;
     if (hold.state == State::kReturned)
       returned.push_back({hold.range, hold.fence, hold.returned_handover});
--- a/modules/coordination/mesh/polling_hold_tracker.h
+++ b/modules/coordination/mesh/polling_hold_tracker.h
@@ -13,25 +13,26 @@
 
 namespace citrongrade {
 
-// What one target holds that takes grants with the answers to its own reports,
-// and what it may still hold.
+// Tracks the holds of a target that receives its grants in the replies to its
+// own reports.
 //
-// Each answer states all that the target is to hold, and for how long, counted
-// from when it sent the report: what is left out it gives back, what is named
-// again lasts longer, and an answer that is lost changes nothing. Each report
-// says what the target holds or still works on, and what it has given back. So
-// a range that is to move is served until an answer leaves it out, and counts
-// as given back once a later report says so, or once every answer that named it
-// has run out.
+// Each reply lists every range that the target is to hold and gives the
+// duration of the holds, counted from when the report was sent. The target
+// releases the ranges that are not listed and extends the holds of those that
+// are; a lost reply changes nothing. Each report lists the ranges that the
+// target holds or still works on, and those that it has released. A range that
+// is to move is therefore served until a reply omits it. It counts as returned
+// once a later report says so, or once every reply that listed it has expired.
 //
-// A report shows all earlier answers that will ever take effect: a target sends
-// one at a time, and takes no answer to one that it has given up.
+// A report reflects all earlier replies that will ever take effect: a target
+// sends one report at a time, and ignores the reply to a report that it has
+// abandoned.
 //
-// How to use it: as TargetHolds says. OnReport() for each report, then
-// MakeStatement() for its answer; nothing for reports that were overtaken.
+// Usage: as described at TargetHoldTracker. Call OnReport() for each report and
+// then MakeGrantReply() for its reply; ignore reports that arrive out of order.
 //
-// Thread-confined, no input or output. Kin: HoldBook, for targets that take
-// orders; TargetKeeper, which answers reports.
+// Not thread-safe; does no I/O. See also PushHoldTracker, for targets that take
+// calls, and TargetController, which replies to the reports.
 class PollingHoldTracker final : public TargetHoldTracker {
  public:
   struct HeldRange {
@@ -43,7 +44,7 @@
 
   struct ReleasedRange {
     SlotRange range;
-    // For the next holder.
+    // Opaque data of the target for the next holder of the range.
     std::string handover;
 
     friend auto operator<=>(const ReleasedRange&,
@@ -52,7 +53,7 @@
 
   struct Report {
     std::vector<HeldRange> held;
-    // Since the last report that was answered.
+    // Ranges released since the last report that got a reply.
     std::vector<ReleasedRange> released;
 
     friend auto operator<=>(const Report&, const Report&) = default;
@@ -61,41 +62,42 @@
   struct GrantedRange {
     SlotRange range;
     std::uint64_t fence = 0;
-    // Of the last holder; empty where there is none, or the target has it.
+    // Handover data of the previous holder; empty if there is none or the
+    // target already has it.
     std::string handover;
 
     friend auto operator<=>(const GrantedRange&, const GrantedRange&) = default;
   };
 
-  // All that the target is to hold.
+  // Lists every range that the target is to hold.
   struct GrantReply {
     std::vector<GrantedRange> ranges;
-    // Counts from when the report was sent.
+    // Duration of the holds, counted from when the report was sent.
     std::chrono::milliseconds hold{0};
 
     friend auto operator<=>(const GrantReply&, const GrantReply&) = default;
   };
 
-  // An answer may be 4 KiB long: a hundred rows of up to 26 bytes beside their
-  // handovers, and what stands around them.
+  // A reply may be 4 KiB long: about a hundred ranges of up to 26 bytes each
+  // besides their handovers, and the enclosing message.
   static constexpr std::size_t kMaxGrantReplyBytes = 3900;
   static constexpr std::size_t kGrantedRangeBytes = 28;
-  // Answers without effect after which a range is taken for refused: the target
-  // has seen a higher token, and only a new one helps. Two may be lost in a row
-  // while a node is slow.
+  // After this many replies without effect a range counts as refused: the
+  // target has seen a higher fencing token, and only a new token helps. Two
+  // replies may be lost in a row while a node is slow.
   static constexpr unsigned kMaxIgnoredReplies = 3;
 
-  // `earlier`: what an earlier process of this node granted holds at most that
-  // much longer.
+  // `earlier`: upper bound of the remaining time of grants by an earlier
+  // process of this node.
   PollingHoldTracker(const Clock& clock, Clock::Duration earlier);
 
   void OnReport(const Report& report);
-  // The answer would change what the target holds, or the target is giving
-  // ranges back and waits for it to report again.
+  // True if a reply would change what the target holds, or if the target is
+  // releasing ranges and waits to report again.
   bool HasPendingChanges() const;
-  // `reported`: when the report arrived; `lease_until`: until when the node may
-  // let its target serve. Nothing while there is no lease: an answer without a
-  // statement leaves the target what it has for as long as it has it.
+  // `reported`: when the report arrived. `lease_until`: until when the node may
+  // let its target serve. Returns nothing if there is no lease; a reply without
+  // grants leaves the target's current holds to expire.
   std::optional<GrantReply> MakeGrantReply(Clock::TimePoint reported,
                                            Clock::TimePoint lease_until);
 
@@ -108,10 +110,10 @@
   static void UpdateGrantedHold(Hold& hold, bool is_held);
   static void UpdateReleasingHold(Hold& hold,
                                   bool is_held,
-                                  const ReleasedRange* freed,
+                                  const ReleasedRange* released,
                                   Clock::TimePoint now);
 
-  // The target reported a range that the view does not give it.
+  // The target reported a range that the view does not assign to it.
   bool m_holds_unassigned_range = false;
 };
 
--- a/modules/coordination/mesh/target_hold_tracker.cc
+++ b/modules/coordination/mesh/target_hold_tracker.cc
@@ -65,35 +65,36 @@
   m_holds = std::move(joined);
 }
 
-void TargetHoldTracker::MoveHoldsOf(const SlotAssignment& run,
+void TargetHoldTracker::MoveHoldsOf(const SlotAssignment& assignment,
                                     std::vector<Hold>& holds) {
   const Clock::TimePoint now = m_clock.Now();
-  std::uint32_t uncovered = run.range.first;
-  const auto add_wanted = [&](std::uint32_t end) {
+  std::uint32_t uncovered = assignment.range.first;
+  const auto add_awaiting_grant = [&](std::uint32_t end) {
     if (uncovered >= end)
       return;
     Hold hold;
     hold.range = {uncovered, end - 1};
-    hold.fence = run.fence;
-    hold.handover = run.handover;
+    hold.fence = assignment.fence;
+    hold.handover = assignment.handover;
     hold.next_call = now;
     hold.may_hold_until = m_untracked_until;
     holds.push_back(std::move(hold));
   };
   const std::size_t first = holds.size();
-  const auto is_of_run = [&run](const Hold& hold) {
-    return run.range.Contains(hold.range) && hold.fence == run.fence;
+  const auto matches = [&assignment](const Hold& hold) {
+    return assignment.range.Contains(hold.range) &&
+           hold.fence == assignment.fence;
   };
   for (const Hold& hold : m_holds) {
-    if (!is_of_run(hold))
+    if (!matches(hold))
       continue;
-    add_wanted(hold.range.first);
+    add_awaiting_grant(hold.range.first);
     uncovered = hold.range.last + 1;
     holds.push_back(hold);
   }
-  std::erase_if(m_holds, is_of_run);
-  add_wanted(run.range.last + 1);
-  if (!run.is_moving())
+  std::erase_if(m_holds, matches);
+  add_awaiting_grant(assignment.range.last + 1);
+  if (!assignment.is_moving())
     return;
   for (std::size_t i = first; i < holds.size(); ++i)
     OnMustRelease(holds[i]);
@@ -104,8 +105,9 @@
   for (const Hold& hold : m_holds) {
     if (hold.state == State::kReturned)
       continue;
-    // Should the keys come back by the same token, what was granted before may
-    // still arrive: without this they would be given back too soon then.
+    // If the keys are assigned again with the same fencing token, an earlier
+    // grant may still reach the target. Without this, the keys would then count
+    // as returned too early.
     m_untracked_until = std::max(m_untracked_until, hold.may_hold_until);
     if (hold.call_id != 0 && now < hold.call_sent_at + kCallTimeout) {
       m_untracked_until = std::max(m_untracked_until,
@@ -117,13 +119,13 @@
 
 void TargetHoldTracker::SetAssignments(
     const std::vector<SlotAssignment>& owned) {
-  for (const SlotAssignment& run : owned) {
-    SplitAt(run.range.first);
-    SplitAt(run.range.last + 1);
+  for (const SlotAssignment& assignment : owned) {
+    SplitAt(assignment.range.first);
+    SplitAt(assignment.range.last + 1);
   }
   std::vector<Hold> next;
-  for (const SlotAssignment& run : owned)
-    MoveHoldsOf(run, next);
+  for (const SlotAssignment& assignment : owned)
+    MoveHoldsOf(assignment, next);
   DropUnassignedHolds();
   m_holds = std::move(next);
   MergeAdjacentHolds();
--- a/modules/coordination/mesh/target_hold_tracker.h
+++ b/modules/coordination/mesh/target_hold_tracker.h
@@ -12,18 +12,21 @@
 
 namespace citrongrade {
 
-// What one target holds, and what it may still hold.
+// Tracks the key ranges that one target holds, and those that it may still
+// hold.
 //
-// How grants reach a target differs between platforms, and with it when a range
-// may be served and when it counts as given back. Common to all is kept here:
-// the ranges, the view's runs that they follow, and who may ask what.
+// Platforms differ in how grants reach a target, and therefore in when a range
+// may be served and when it counts as returned. This base class contains what
+// they have in common: the ranges, the slot assignments of the mesh view that
+// they follow, and the queries.
 //
-// How to use it: SetOwned() with each new view; runs that are to move are given
-// back. Everything that Returned() lists goes into each heartbeat, until the
+// Usage: call SetAssignments() with each new view; assignments that are to move
+// are released. Include all of ReturnedRanges() in each heartbeat until the
 // view shows another owner.
 //
-// Thread-confined, no input or output. Kin: HoldBook grants by orders of its
-// own, ReportedHolds in the answers to a target's reports.
+// Not thread-safe; does no I/O. See also PushHoldTracker, which sends grants by
+// calls to the target, and PollingHoldTracker, which sends them in the replies
+// to the target's reports.
 class TargetHoldTracker {
  public:
   struct ReturnedRange {
@@ -37,27 +40,30 @@
 
   virtual ~TargetHoldTracker() = default;
 
-  // Whatever an earlier process of this node granted, by a lease of at most
-  // this length, may hold as long from this one's start.
+  // `longest`: upper bound of the leases that an earlier process of this node
+  // had. Its grants may hold for that long after the start of this process.
   void SetMaxLease(Clock::Duration longest);
-  // The runs that the view gives to the target's present life.
+  // Sets the assignments that the view gives to the target's current
+  // incarnation.
   void SetAssignments(const std::vector<SlotAssignment>& owned);
-  // The target's process is another one, or gone: it holds nothing.
+  // Removes all holds, because the target's process has ended or was replaced
+  // by another one.
   void Clear();
 
   bool MayServe(std::uint32_t slot) const;
-  // How much longer the target may serve it; a run that it has begun ends then,
-  // also if the hold is renewed meanwhile. Zero: it may not.
+  // Time for which the target may still serve the slot; zero if it may not. A
+  // request that is already running has to finish within this time even if the
+  // hold is renewed in the meantime.
   Clock::Duration RemainingHold(std::uint32_t slot) const;
-  // The view gives it to this target, which has not been granted it yet.
+  // The view assigns the slot to this target, but it has not been granted yet.
   bool IsAwaitingGrant(std::uint32_t slot) const;
-  // It is about to be served elsewhere.
+  // The slot is about to be served by another target.
   bool IsBeingReleased(std::uint32_t slot) const;
-  // What the target has given back, or holds no more.
+  // Ranges that the target has released or whose holds have expired.
   virtual std::vector<ReturnedRange> ReturnedRanges() = 0;
-  // The target holds nothing after this, unless it is granted anew.
+  // Time after which the target holds nothing unless there are new grants.
   virtual Clock::TimePoint HeldUntil() const = 0;
-  // True once every range that the view gives is held or given back.
+  // True if every tracked range has been returned, or if there are none.
   bool HasReturnedAllRanges() const;
   std::size_t range_count() const { return m_holds.size(); }
 
@@ -69,49 +75,55 @@
     std::uint64_t fence = 0;
     std::string handover;
     State state = State::kAwaitingGrant;
-    // The target serves it until then.
+    // End of the time in which the target serves the range.
     Clock::TimePoint serve_until;
-    // A grant whose end is not known may keep it held until then.
+    // Latest time until which any grant may keep the range held, including
+    // grants whose outcome is unknown.
     Clock::TimePoint may_hold_until;
     std::string returned_handover;
 
-    // Of HoldBook.
+    // The following members are used by PushHoldTracker.
     Clock::TimePoint next_call;
-    // Of the call under way; 0: none.
+    // Id of the call in progress; 0 if there is none.
     std::uint64_t call_id = 0;
     Clock::TimePoint call_sent_at;
     std::chrono::milliseconds call_hold{0};
     bool was_release_unanswered = false;
-    // The target confirmed the release.
+    // The target has confirmed the release.
     bool is_released = false;
 
-    // Of ReportedHolds.
-    // Served until the next answer leaves it out.
+    // The following members are used by PollingHoldTracker.
+
+    // The next reply omits the range, which is served until then.
     bool is_to_release = false;
-    // The target has reported that it holds it.
+    // The target has reported the range as held.
     bool is_confirmed = false;
-    // Answers in a row after which the target did not report it.
+    // Number of consecutive replies after which the target did not report the
+    // range as held.
     unsigned ignored_replies = 0;
   };
 
-  // A call that was given up may arrive this much later than it was sent.
+  // A call that timed out may still reach the target up to this long after it
+  // was sent.
   static constexpr std::chrono::milliseconds kCallTimeout{400};
-  // The node stops giving work before the hold ends, by a local call's time.
+  // The node stops sending requests this long before the hold ends: the
+  // duration of a local call.
   static constexpr std::chrono::milliseconds kServeMargin{15};
-  // A target's clock may run this much slow: a hold lasts longer by it.
+  // Slowest rate of a target's clock relative to the node's. A hold lasts
+  // correspondingly longer by the node's clock.
   static constexpr double kMinTargetClockRate = 0.98;
-  // A hold for less is not worth a grant.
+  // Shortest hold that is worth a grant.
   static constexpr std::chrono::milliseconds kMinHold{60};
 
-  // How long a hold lasts at most by the node's clock.
+  // Longest time, by the node's clock, that a hold of this duration lasts.
   static std::chrono::milliseconds MaxDurationByNodeClock(
       std::chrono::milliseconds hold);
 
-  // `earlier`: what an earlier process of this node granted holds at most that
-  // much longer.
+  // `earlier`: upper bound of the remaining time of grants by an earlier
+  // process of this node.
   TargetHoldTracker(const Clock& clock, Clock::Duration earlier);
 
-  // The view has it move away.
+  // Called when the view moves the range to another owner.
   virtual void OnMustRelease(Hold& hold) = 0;
 
   void SplitAt(std::uint32_t slot);
@@ -123,18 +135,19 @@
  private:
   static bool CanMerge(const Hold& left, const Hold& right);
   const Hold* FindHold(std::uint32_t slot) const;
-  // Moves what is held of the run from the book to `holds`, and adds what is
-  // still to be granted.
+  // Moves the assignment's holds from m_holds to `holds`, and adds the parts
+  // that still have to be granted.
   void MoveHoldsOf(const SlotAssignment& run, std::vector<Hold>& holds);
-  // What is left in the book: the view gives it to nobody here any more.
+  // Accounts for the holds left in m_holds, which the view no longer assigns to
+  // this target.
   void DropUnassignedHolds();
 
   const Clock& m_clock;
   const Clock::TimePoint m_started;
-  // What an earlier process of this node granted, or what is no longer in the
-  // book, may hold until then.
+  // Grants of an earlier process of this node, or of holds that are no longer
+  // tracked, may last until then.
   Clock::TimePoint m_untracked_until;
-  // In the order of their slots.
+  // Sorted by slot.
   std::vector<Hold> m_holds;
 };
 
--- a/modules/coordination/mesh/vote.h
+++ b/modules/coordination/mesh/vote.h
@@ -6,14 +6,17 @@
 
 namespace citrongrade {
 
-// A node asks another for its vote, or gives one back that it can't use.
+// Requests a node's vote, returns a vote that the candidate can't use, or
+// announces the candidate as the leader.
 struct VoteRequest {
   std::string candidate;
   bool returns_vote = false;
-  // The candidate leads, and tells a node that has lost touch with the mesh.
+  // The candidate is the leader and announces itself to a node that has lost
+  // contact with the mesh.
   bool is_leader_announcement = false;
-  // The process that leads by the stored record no longer exists, so nobody
-  // counts on a promise that the voter may have forgotten.
+  // The process that the stored record names as leader no longer exists. A
+  // promise that the voter made before a restart therefore binds nobody any
+  // more.
   bool is_previous_leader_gone = false;
 
   friend auto operator<=>(const VoteRequest&, const VoteRequest&) = default;
@@ -21,7 +24,8 @@
 
 struct VoteReply {
   bool is_granted = false;
-  // Who has the vote instead, or leads as far as the voter knows.
+  // The node that holds the vote instead, or the leader that the voter knows
+  // of.
   std::string leader_hint;
 
   friend auto operator<=>(const VoteReply&, const VoteReply&) = default;
--- a/modules/coordination/mesh/vote_promise.h
+++ b/modules/coordination/mesh/vote_promise.h
@@ -6,30 +6,34 @@
 
 namespace citrongrade {
 
-// One node's vote: to whom it is promised, and until when.
+// Holds one node's vote: the candidate it is promised to, and until when.
 //
-// A promise can't be taken back before its time, or two nodes could lead at
-// once: the old one counts on it without asking again. A process that has just
-// started may have promised its vote before it died and remembers nothing of
-// it, so it votes only after one promise's length. Unless it is shown that
-// nobody can count on that promise: whoever does must have claimed the mesh in
-// the store, and the process that did so last no longer exists. Another
-// candidate that the lost promise went to can't claim any more once this one
-// has. After the loss of all processes a mesh has its leader 1.2 s sooner by
-// this.
+// A promise can't be revoked before it expires. Otherwise two nodes could lead
+// at once, because the previous leader relies on the promise without asking
+// again. A process that has just started may have promised its vote before it
+// crashed and has no record of that, so it abstains for the duration of one
+// promise.
 //
-// Thread-confined. Kin: LeadershipLease, which counts promises.
+// There is one exception: a candidate may show that nobody relies on the lost
+// promise. Only the process that last claimed the mesh in the store could, and
+// that process no longer exists. Any other candidate that got the lost promise
+// can no longer claim the mesh once this candidate has. After the loss of all
+// processes, a mesh gets its leader 1.2 s sooner this way.
+//
+// Not thread-safe. See also LeadershipLease, which counts promises.
 class VotePromise {
  public:
   VotePromise(const Clock& clock, Clock::Duration length);
 
-  // Promises the vote to `candidate` from now on, if nobody else has it.
-  // `is_leader_gone`: the process that claimed the mesh last is gone, and the
-  // candidate claims on condition that nobody has claimed it since.
+  // Promises the vote to `candidate` from now on, unless another node holds it.
+  // `is_leader_gone`: the process that last claimed the mesh no longer exists,
+  // and the candidate's claim succeeds only if nobody has claimed the mesh
+  // since.
   bool Promise(const std::string& candidate, bool is_leader_gone = false);
-  // `holder` does not count on it any more: it said so, or its process is gone.
+  // Frees the vote because `holder` no longer relies on it: it returned the
+  // vote, or its process no longer exists.
   void Release(const std::string& holder);
-  // Who has it now; empty: nobody.
+  // The current holder; empty if there is none.
   std::string holder() const;
   bool is_abstaining() const;
 
