--- a/modules/coordination/mesh/leadership_lease_test.cc
+++ b/modules/coordination/mesh/leadership_lease_test.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("more than half of the voters carry a leader, and no longer") {
+TEST_CASE("a leader may act only while a majority of the voters has promised") {
   ManualClock clock;
   LeadershipLease lease(clock, kPromise, kDrift, "a");
   lease.SetVoters({"a", "b", "c", "d"});
@@ -30,7 +30,7 @@
   CHECK_FALSE(lease.IsValid());
 }
 
-TEST_CASE("a promise that comes late counts from when it was asked for") {
+TEST_CASE("a late promise counts from the time of the request") {
   ManualClock clock;
   LeadershipLease lease(clock, kPromise, kDrift, "a");
   lease.SetVoters({"a", "b"});
@@ -40,10 +40,11 @@
   CHECK(lease.ValidUntil() == asked + milliseconds(950));
 }
 
-// Whether a change of the voters took effect is not known while the store does
-// not answer. A leader that counted on the new ones alone could act beside
-// another that the old ones have made.
-TEST_CASE("while voters change, a majority of both is needed") {
+// Guards against two leaders at once. While the store does not reply, it is
+// unknown whether a change of the voters has taken effect. A leader that relied
+// on the new voters alone could act beside another one that the old voters have
+// elected.
+TEST_CASE("a majority of old and new voters is needed during a change") {
   ManualClock clock;
   LeadershipLease lease(clock, kPromise, kDrift, "a");
   lease.SetVoters({"a", "b", "c"});
--- a/modules/coordination/mesh/lease_duration_controller_test.cc
+++ b/modules/coordination/mesh/lease_duration_controller_test.cc
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr milliseconds kTick{20};
-constexpr milliseconds kPlayed{60'000};
+constexpr milliseconds kSimulatedTime{60'000};
 constexpr std::uint64_t kSeed = 11;
 
 struct Fixture {
@@ -31,8 +31,8 @@
   LeaseDurationController length{clock, timing, milliseconds(0)};
 };
 
-// A target whose node has renewed its lease by every heartbeat, and whose work
-// has a mean of `mean` and spreads like a lognormal distribution.
+// A target whose node renews its lease with every heartbeat. The service times
+// have the given mean and a lognormal distribution.
 class BusyTarget {
  public:
   explicit BusyTarget(milliseconds mean)
@@ -43,14 +43,14 @@
     m_book.SetAssignments({MakeOwnedRun(0, 9, 1)});
   }
 
-  // The part of runs, begun at any moment, that take longer than the target may
-  // then still serve their key.
+  // Fraction of requests, started at any time, whose service time exceeds the
+  // time for which the target may still serve their key.
   double FractionOutlastingHold(milliseconds lease) {
-    int begun = 0;
+    int started = 0;
     int outlasting = 0;
     Clock::TimePoint lease_until;
     Clock::TimePoint next_heartbeat = m_clock.Now();
-    for (milliseconds t{0}; t < kPlayed; t += kTick) {
+    for (milliseconds t{0}; t < kSimulatedTime; t += kTick) {
       m_clock.Advance(kTick);
       if (m_clock.Now() >= next_heartbeat) {
         lease_until = m_clock.Now() + lease;
@@ -58,11 +58,12 @@
       }
       for (const PushHoldTracker::Grant& grant : m_book.DueGrants(lease_until))
         m_book.OnGranted(grant.id);
-      const std::chrono::duration<double, std::milli> work(m_work(m_random));
-      ++begun;
-      outlasting += work > m_book.RemainingHold(5) ? 1 : 0;
+      const std::chrono::duration<double, std::milli> service_time(
+          m_work(m_random));
+      ++started;
+      outlasting += service_time > m_book.RemainingHold(5) ? 1 : 0;
     }
-    return static_cast<double>(outlasting) / begun;
+    return static_cast<double>(outlasting) / started;
   }
 
  private:
@@ -76,15 +77,17 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(Fixture, "short work leaves leases as short as they may be") {
+TEST_CASE_FIXTURE(Fixture, "short service times keep leases at their minimum") {
   length.UpdateServiceTimes(
       {milliseconds(120), milliseconds(150), milliseconds(190)});
   CHECK(length.DurationToStore() == timing.min_lease);
   CHECK(length.DurationToGrant() == timing.min_lease);
 }
 
-// Guards against work that is lost because its target's hold ends before it.
-TEST_CASE_FIXTURE(Fixture, "few runs of long work outlast their hold") {
+// Guards against requests that fail because their target's hold ends before
+// they finish.
+TEST_CASE_FIXTURE(Fixture,
+                  "few requests with long service times outlast their hold") {
   constexpr milliseconds kMean{550};
   CHECK(BusyTarget(kMean).FractionOutlastingHold(timing.min_lease) > 0.1);
   length.UpdateServiceTimes({kMean});
@@ -93,15 +96,16 @@
         0.04);
 }
 
-// Guards against keys that are unserved for long after the loss of a node.
-TEST_CASE_FIXTURE(Fixture, "no work makes leases longer than their bound") {
+// Guards against keys that stay unserved for long after the loss of a node.
+TEST_CASE_FIXTURE(Fixture, "leases never exceed their maximum") {
   length.UpdateServiceTimes({milliseconds(5000)});
   Store();
   CHECK(length.DurationToGrant() == timing.max_lease);
 }
 
-// Guards against a later leader that takes a longer lease for ended.
-TEST_CASE_FIXTURE(Fixture, "a longer lease is granted once it is stored") {
+// Guards against a later leader that assumes that a longer lease has already
+// expired.
+TEST_CASE_FIXTURE(Fixture, "a longer lease is granted only once it is stored") {
   length.UpdateServiceTimes({milliseconds(500)});
   CHECK(length.DurationToGrant() == timing.min_lease);
   const milliseconds longer = length.DurationToStore();
@@ -113,15 +117,19 @@
   CHECK(length.DurationToGrant() == longer);
 }
 
-TEST_CASE_FIXTURE(Fixture,
-                  "a leader starts with the leases of the one before") {
+TEST_CASE_FIXTURE(
+    Fixture,
+    "a leader starts with the stored maximum of its predecessor") {
   const LeaseDurationController next(clock, timing, milliseconds(2800));
   CHECK(next.MaxDurationInForce() == milliseconds(2800));
   CHECK(next.DurationToStore() == milliseconds(2800));
 }
 
-// Guards against a record that names shorter leases than are in force.
-TEST_CASE_FIXTURE(Fixture, "shorter leases are stored when longer ones ended") {
+// Guards against a record whose maximum lease is shorter than the leases in
+// force.
+TEST_CASE_FIXTURE(
+    Fixture,
+    "a shorter maximum is stored once longer leases have expired") {
   length.UpdateServiceTimes({milliseconds(500)});
   Store();
   const milliseconds longer = length.MaxDurationInForce();
@@ -133,9 +141,10 @@
   CHECK(length.DurationToStore() == timing.min_lease);
 }
 
-// The same, when work takes long again while the record is being written.
+// Guards against the same failure if service times increase again while the
+// record is being written.
 TEST_CASE_FIXTURE(Fixture,
-                  "no lease is longer than the record under way says") {
+                  "no lease exceeds the maximum in the record being written") {
   length.UpdateServiceTimes({milliseconds(500)});
   Store();
   length.UpdateServiceTimes({milliseconds(100)});
--- a/modules/coordination/mesh/mesh_leader_test.cc
+++ b/modules/coordination/mesh/mesh_leader_test.cc
@@ -17,7 +17,7 @@
 
 constexpr std::uint64_t kNonce = 7;
 
-// A leader, and nodes that answer it whenever Step() is called.
+// A leader, and nodes that send it heartbeats whenever Step() is called.
 class Fixture {
  public:
   Fixture() {
@@ -33,7 +33,7 @@
     leader->SetShardedServices({"divided"});
   }
 
-  // Runs that the view tells their owner to give back.
+  // Assignments that the view tells their owner to release.
   std::vector<SlotAssignment> MovingRunsOf(const std::string& address) const {
     std::vector<SlotAssignment> moving;
     for (SlotAssignment run :
@@ -83,7 +83,8 @@
     replies[address] = reply;
   }
 
-  // All nodes but `silent` beat; the store answers at once.
+  // All nodes except `silent` send a heartbeat; writes to the store complete at
+  // once.
   void Step(milliseconds step, const std::string& silent = {}) {
     clock.Advance(step);
     for (const auto& [address, heartbeat] : nodes) {
@@ -116,7 +117,7 @@
 }  // namespace
 
 TEST_CASE_FIXTURE(Fixture,
-                  "a new mesh waits for its targets and shares the keys") {
+                  "a new mesh waits for its targets before it assigns keys") {
   for (const char* address : {"a", "b", "c", "d"})
     Node(address);
   Run(milliseconds(1000));
@@ -126,28 +127,29 @@
     CHECK(SlotsOf(address) == kSlotCount / 4);
 }
 
-// A node dies. Its target may hold keys until the lease that the leader granted
-// last has run out; nobody gets them before, and somebody soon after.
+// Guards against two holders of a key after the loss of a node: its target may
+// hold keys until its last lease expires. Nobody gets them before, and another
+// node gets them soon after.
 TEST_CASE_FIXTURE(Fixture,
-                  "keys of a lost node wait for its lease, not longer") {
+                  "keys of a lost node are reassigned when its lease expires") {
   for (const char* address : {"a", "b", "c"})
     Node(address);
   Run(milliseconds(4000));
   REQUIRE(SlotsOf("b") > 0);
-  const Clock::TimePoint last_beat = clock.Now();
-  while (SlotsOf("b") > 0 && clock.Now() - last_beat < milliseconds(5000))
+  const Clock::TimePoint last_heartbeat = clock.Now();
+  while (SlotsOf("b") > 0 && clock.Now() - last_heartbeat < milliseconds(5000))
     Step(milliseconds(10), "b");
-  const auto took = clock.Now() - last_beat;
+  const auto took = clock.Now() - last_heartbeat;
   CHECK(took > timing.min_lease);
   CHECK(took < milliseconds(2100));
 }
 
-// A change that takes keys away waits for the store. Its old owner comes back
-// meanwhile: with a lease for the published owner it would hold keys that the
-// store is about to give to another.
-TEST_CASE_FIXTURE(
-    Fixture,
-    "what is taken from a lost node is published before it is stored") {
+// Guards against two holders of a key while the store does not reply: a change
+// that takes keys from a lost node is being stored when the node comes back. If
+// the view still showed the node as the owner, it would get a lease and hold
+// keys that the store is about to assign to another node.
+TEST_CASE_FIXTURE(Fixture,
+                  "the loss of an owner is published before it is stored") {
   for (const char* address : {"a", "b", "c"})
     Node(address);
   Run(milliseconds(4000));
@@ -166,7 +168,7 @@
 
 TEST_CASE_FIXTURE(
     Fixture,
-    "a target that began a new life gets its keys by a higher fence") {
+    "a restarted target gets its keys with a higher fencing token") {
   for (const char* address : {"a", "b"})
     Node(address);
   Run(milliseconds(4000));
@@ -182,8 +184,8 @@
 }
 
 TEST_CASE_FIXTURE(Fixture,
-                  "a target that drains is told to give its keys back, and "
-                  "they go on with its handover") {
+                  "a draining target releases its keys, and its handover is "
+                  "passed to the next owner") {
   for (const char* address : {"a", "b", "c"})
     Node(address);
   Run(milliseconds(4000));
@@ -200,26 +202,25 @@
             .handover == "token");
 }
 
-// The store goes away while keys move. Their owner has given them back; the one
-// that is to get them was stored before, so they need not wait for the store.
-// Guards against two holders of the keys of a node whose work takes long.
-TEST_CASE_FIXTURE(Fixture, "keys of a lost node wait for its longer lease") {
+// Guards against two holders of the keys of a lost node whose service times,
+// and therefore leases, are long.
+TEST_CASE_FIXTURE(Fixture, "keys of a lost node wait for its extended lease") {
   for (const char* address : {"a", "b", "c"})
     Node(address).mean_service_time_us = 500'000;
   Run(milliseconds(4000));
   REQUIRE(SlotsOf("b") > 0);
   const milliseconds lease(replies["b"].lease_ms);
   REQUIRE(lease > timing.min_lease);
-  const Clock::TimePoint last_beat = clock.Now();
-  while (SlotsOf("b") > 0 && clock.Now() - last_beat < milliseconds(5000))
+  const Clock::TimePoint last_heartbeat = clock.Now();
+  while (SlotsOf("b") > 0 && clock.Now() - last_heartbeat < milliseconds(5000))
     Step(milliseconds(10), "b");
-  const auto took = clock.Now() - last_beat;
+  const auto took = clock.Now() - last_heartbeat;
   CHECK(took > lease);
   CHECK(took < lease + milliseconds(200));
 }
 
-// Guards against the same when the leader is lost together with the node.
-TEST_CASE_FIXTURE(Fixture, "the next leader waits for the longer leases") {
+// Guards against the same failure if the leader is lost together with the node.
+TEST_CASE_FIXTURE(Fixture, "the next leader waits for extended leases") {
   for (const char* address : {"a", "b", "c"})
     Node(address).mean_service_time_us = 500'000;
   stores = false;
@@ -243,7 +244,11 @@
   CHECK(clock.Now() - claimed > lease);
 }
 
-TEST_CASE_FIXTURE(Fixture, "keys that move arrive while the store is away") {
+// Guards against keys without an owner while the store is unavailable: the
+// owner has released them, and the next owner was stored before, so that the
+// move need not wait for the store.
+TEST_CASE_FIXTURE(Fixture,
+                  "a stored move completes while the store is unavailable") {
   for (const char* address : {"a", "b", "c"})
     Node(address);
   Run(milliseconds(4000));
@@ -256,9 +261,11 @@
   CHECK_FALSE(leader->view().FindTable("divided")->HasUnowned());
 }
 
-// Without the store nobody could be told later to whom the keys went: an owner
-// that leaves is told to give them back only once that is stored.
-TEST_CASE_FIXTURE(Fixture, "no key is asked back while the store is away") {
+// Guards against keys without an owner while the store does not reply: a
+// release is requested only once the next owner is stored, because without the
+// store the keys could not be assigned afterwards.
+TEST_CASE_FIXTURE(Fixture,
+                  "no release is requested while the store is unavailable") {
   for (const char* address : {"a", "b", "c"})
     Node(address);
   Run(milliseconds(4000));
@@ -269,11 +276,12 @@
   CHECK(SlotsOf("b") > 0);
 }
 
-// A leader is lost after it gave keys on and before it marked that in the
-// record. The next one goes by the record: both may have had them, so it asks
-// the first owner to give them back and gives them to the second, by the same
-// token, and to nobody else.
-TEST_CASE_FIXTURE(Fixture, "the next leader ends a move that was under way") {
+// Guards against two holders of a key if a leader is lost after it has
+// completed a move and before the record shows that. By the record, either of
+// the two owners may hold the keys, so the next leader requests the release
+// again and assigns the keys to the recorded next owner with the same fencing
+// token, and to no other node.
+TEST_CASE_FIXTURE(Fixture, "the next leader completes a move in progress") {
   for (const char* address : {"a", "b", "c"})
     Node(address);
   Run(milliseconds(4000));
@@ -300,9 +308,8 @@
   }
 }
 
-TEST_CASE_FIXTURE(
-    Fixture,
-    "without the votes of more than half nothing is granted or moved") {
+TEST_CASE_FIXTURE(Fixture,
+                  "without a majority of votes nothing is granted or moved") {
   for (const char* address : {"a", "b", "c", "d", "e"})
     Node(address);
   Run(milliseconds(4000));
@@ -316,11 +323,12 @@
   CHECK(SlotsOf("c") > 0);
 }
 
-// Keys are given to a node; while that is being stored the node is lost, and
-// the keys are to go to a third. Published when it is stored after all, the
-// first change would have the node, back by then, hold what the next gives
-// away.
-TEST_CASE_FIXTURE(Fixture, "a change that was overtaken is not published") {
+// Guards against two holders of a key: keys are assigned to a node, which is
+// lost while the change is being stored, so the keys are to go to a third node.
+// If the first change were published when its write completes, the node could
+// be back and hold keys that the next change assigns elsewhere.
+TEST_CASE_FIXTURE(Fixture,
+                  "a change that is no longer current is not published") {
   for (const char* address : {"a", "b", "c", "d", "e"})
     Node(address);
   Run(milliseconds(4000));
@@ -336,10 +344,10 @@
   CHECK(SlotsOf("c") == 0);
 }
 
-// Those that should read the store can't: without others a new configuration
-// would stay unread.
+// Guards against a new configuration that stays unread because none of the
+// chosen store readers can reach the store.
 TEST_CASE_FIXTURE(Fixture,
-                  "other nodes read the store when those that should can't") {
+                  "other nodes read the store if the chosen readers can't") {
   for (const char* address : {"a", "b", "c", "d", "e"})
     Node(address);
   Run(milliseconds(500));
@@ -361,9 +369,11 @@
   CHECK(leader->CanSuccessorReachStore());
 }
 
-// Guards against a long configuration that takes a weak host's link and loop,
-// and against fit hosts that are all cut off from the store.
-TEST_CASE_FIXTURE(Fixture, "the fittest hosts read the store while they can") {
+// Guards against a long configuration document that occupies the network link
+// and event loop of a weak host, and against a mesh whose fit hosts are all cut
+// off from the store.
+TEST_CASE_FIXTURE(Fixture,
+                  "the fittest hosts read the store as long as they can") {
   for (const char* address : {"a", "b", "c", "d", "e"})
     Node(address).leader_fitness_milli = address[0] >= 'd' ? 1000 : 200;
   Run(milliseconds(500));
@@ -372,15 +382,15 @@
   };
   CHECK(reads("d"));
   CHECK(reads("e"));
-  bool was_weak_tried = false;
-  for (int i = 0; i < 50 && !was_weak_tried; ++i) {
+  bool was_weak_host_tried = false;
+  for (int i = 0; i < 50 && !was_weak_host_tried; ++i) {
     Run(milliseconds(100));
-    was_weak_tried = reads("b") || reads("c");
+    was_weak_host_tried = reads("b") || reads("c");
   }
-  CHECK(was_weak_tried);
+  CHECK(was_weak_host_tried);
 }
 
-TEST_CASE_FIXTURE(Fixture, "among equal hosts no leader gives way") {
+TEST_CASE_FIXTURE(Fixture, "a leader does not resign among equally fit hosts") {
   for (const char* address : {"a", "b", "c"})
     Node(address).is_store_answering = true;
   Run(milliseconds(8000));
@@ -388,10 +398,10 @@
   CHECK(leader->FindFitterLeader().empty());
 }
 
-// Many nodes are lost at once, and one on a weak host is elected. Those on fit
-// hosts come back, but it leads on with all of its processor, and nodes that
-// wait for its late answers take it for lost again and again.
-TEST_CASE_FIXTURE(Fixture, "a leader gives way to a host that is far fitter") {
+// Guards against a leader on a weak host that was elected while many nodes were
+// lost. It would lead on after fit hosts are back, with all of its processor,
+// and nodes that wait for its late replies would repeatedly consider it lost.
+TEST_CASE_FIXTURE(Fixture, "a leader resigns to a host that is far fitter") {
   Node("a").leader_fitness_milli = 100;
   Node("b").leader_fitness_milli = 150;
   Node("b").is_store_answering = true;
@@ -408,8 +418,7 @@
   CHECK(leader->FindFitterLeader().empty());
 }
 
-TEST_CASE_FIXTURE(Fixture,
-                  "a heartbeat that was overtaken does not bring old news") {
+TEST_CASE_FIXTURE(Fixture, "a heartbeat that arrives out of order is ignored") {
   for (const char* address : {"a", "b"})
     Node(address);
   Run(milliseconds(4000));
--- a/modules/coordination/mesh/vote_promise_test.cc
+++ b/modules/coordination/mesh/vote_promise_test.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("a vote belongs to one candidate until its time is over") {
+TEST_CASE("a vote belongs to one candidate until the promise expires") {
   ManualClock clock;
   VotePromise promise(clock, milliseconds(1000));
   clock.Advance(milliseconds(1000));
@@ -22,10 +22,10 @@
   CHECK(promise.Promise("b"));
 }
 
-// Two nodes lead at once, and both give the same keys away: a node promised its
-// vote, died, started again and promised it to another, while the first leader
-// still counted on it.
-TEST_CASE("a process that has just started promises nothing") {
+// Guards against two leaders that both assign the same keys: a node promised
+// its vote, crashed, restarted and promised the vote to another candidate while
+// the first leader still relied on it.
+TEST_CASE("a process that has just started abstains") {
   ManualClock clock;
   VotePromise promise(clock, milliseconds(1000));
   CHECK_FALSE(promise.Promise("a"));
@@ -35,7 +35,7 @@
   CHECK(promise.Promise("a"));
 }
 
-TEST_CASE("a holder that gives its vote back frees it for others") {
+TEST_CASE("a vote that its holder returns is free for others") {
   ManualClock clock;
   VotePromise promise(clock, milliseconds(1000));
   clock.Advance(milliseconds(1000));
@@ -46,18 +46,19 @@
   CHECK(promise.Promise("b"));
 }
 
-// All processes of a mesh end at once. Each that starts may have promised its
-// vote before; while nobody voted for that long, nobody was served.
-TEST_CASE("a new process votes at once when the last leader is gone") {
+// Guards against an outage after all processes of a mesh end at once. Each
+// restarted process may have promised its vote before, so that without the
+// exception all of them would abstain for the duration of a promise.
+TEST_CASE("a new process votes at once if the last leader is gone") {
   ManualClock clock;
   VotePromise vote(clock, milliseconds(1200));
   CHECK_FALSE(vote.Promise("a"));
   CHECK(vote.Promise("a", true));
-  // It keeps the promise like any other, and renews it.
+  // The promise binds like any other one and can be renewed.
   CHECK_FALSE(vote.Promise("b", true));
   CHECK(vote.Promise("a"));
   vote.Release("a");
-  // Nothing has been shown of whoever leads by now.
+  // The voter has not been shown that the current leader is gone.
   CHECK_FALSE(vote.Promise("a"));
 }
 
