--- a/modules/coordination/mesh/ownership_model_test.cc
+++ b/modules/coordination/mesh/ownership_model_test.cc
@@ -20,14 +20,15 @@
 #include "modules/coordination/mesh/push_hold_tracker.h"
 #include "modules/coordination/mesh/vote_promise.h"
 
-// Random schedules of failures over the real leader, votes and hold books, with
-// a fake store, fake targets and a fake network in virtual time. Nodes are
-// killed, frozen and cut off, targets crash and are born again, orders and
-// messages come late or never, the store fails, leaders are deposed.
+// Runs random fault schedules against the real leader, votes and hold trackers,
+// with a fake store, fake targets and a fake network in virtual time. Nodes are
+// killed, frozen and partitioned, targets crash and restart, calls and messages
+// are late or lost, the store fails, and leaders are deposed.
 //
-// Checked after each step: no two targets hold the same slot, none takes a slot
-// by a token that is not above those of all others, and no two nodes lead. Each
-// safeguard is shown to be needed by a run without it that must be reported.
+// Each step checks that no two targets hold the same slot, that no target takes
+// a slot with a fencing token that is not above those of all other targets, and
+// that no two nodes lead. For each safeguard, a run without it has to report a
+// violation, which shows that the safeguard is needed.
 
 namespace citrongrade {
 
@@ -39,31 +40,33 @@
 constexpr std::size_t kNodes = 5;
 constexpr milliseconds kReportInterval{870};
 constexpr milliseconds kReleasePollInterval{100};
-// A target takes no answer that comes later than this after its report.
+// A target ignores a reply that arrives later than this after its report was
+// sent.
 constexpr milliseconds kReplyTimeout{1000};
-// Checked slots: spread over the table, so that a step costs little.
+// Number of slots checked. They are spread over the table, to keep the cost of
+// a step low.
 constexpr std::uint32_t kProbes = 64;
 
 struct Options {
   MeshTiming timing;
-  // Safeguards, to be switched off one at a time.
+  // Safeguards, each of which can be switched off.
   bool abstains_after_start = true;
   bool waits_for_unanswered_grants = true;
   bool claims_conditionally = true;
   // A process that has just started votes only if it is shown that the last
-  // leader's process is gone.
+  // leader's process no longer exists.
   bool checks_leader_is_gone = true;
-  // What is played beside the failures: leaders that are replaced at once, and
-  // work that takes long for a while, by which leases get longer.
+  // Events in addition to the faults: leaders that are replaced at once, and
+  // periods of long service times, which extend the leases.
   bool replaces_leaders = true;
   bool varies_service_time = true;
-  // A leader knows from the record how long the leases before it last.
+  // A leader knows the maximum lease of its predecessors from the record.
   bool stores_lease_length = true;
-  // Targets are granted keys in the answers to their reports.
+  // Targets get their grants in the replies to their reports.
   bool grants_by_report = false;
 };
 
-// What a target holds by the grants that it has carried out.
+// A target that holds the ranges of the grants that it has processed.
 class FakeTarget {
  public:
   struct Hold {
@@ -114,8 +117,8 @@
                   [now](const Hold& hold) { return now >= hold.until; });
   }
 
-  // What it says of itself: what it holds or still works on, and what it has
-  // given back since the last answer that it got.
+  // Makes a report of the ranges that the target holds or still works on, and
+  // of those released since the last reply.
   PollingHoldTracker::Report Report(Clock::TimePoint now) {
     PollingHoldTracker::Report report;
     for (const Hold& hold : m_holds)
@@ -133,8 +136,8 @@
     return report;
   }
 
-  // The answer to a report that was sent at `sent`. `work`: how long it still
-  // works on what it is to give back.
+  // Applies the reply to a report that was sent at `sent`. `work`: time for
+  // which the target still works on the ranges that it has to release.
   void ApplyReply(const PollingHoldTracker::GrantReply& statement,
                   std::size_t freed_told,
                   Clock::TimePoint sent,
@@ -163,7 +166,7 @@
   bool IsReleasing() const { return !m_releasing.empty(); }
 
  private:
-  // What no row of the last statement names of a hold before it.
+  // Releases the parts of a previous hold that the last reply does not list.
   void ReleaseUnnamed(const Hold& old, Clock::TimePoint ends) {
     std::uint32_t next = old.range.first;
     std::vector<SlotRange> named;
@@ -181,7 +184,7 @@
   }
 
   std::vector<Hold> m_holds;
-  // Work still runs on them until then.
+  // Requests for these ranges are still running until their time.
   std::vector<Hold> m_releasing;
   std::vector<PollingHoldTracker::ReleasedRange> m_released;
 };
@@ -189,7 +192,7 @@
 struct FakeStore {
   std::optional<MeshRecord> record;
   std::uint64_t end = 0;
-  // The process that claimed the mesh last.
+  // Incarnation of the process that last claimed the mesh.
   std::uint64_t claimer = 0;
   bool is_down = false;
 };
@@ -209,9 +212,9 @@
   VotePromise promise;
   PushHoldTracker ordered;
   PollingHoldTracker reported;
-  // The one of the two that is in use.
+  // The tracker in use.
   TargetHoldTracker& book;
-  // Of the last report of its target.
+  // Number of the target's last report.
   std::uint64_t report_number = 0;
   MeshView view;
   std::uint64_t incarnation = 0;
@@ -224,10 +227,10 @@
   Clock::TimePoint next_beat;
   std::shared_ptr<MeshLeader> leading;
   std::uint64_t record_end = 0;
-  // On its way to the store.
+  // The record being written.
   std::optional<MeshRecord> writing;
-  // Its claim is on its way. Another campaign meanwhile could give back the
-  // votes that the claim counts on.
+  // A claim is being written. Another campaign at the same time could return
+  // the votes that the claim relies on.
   bool is_claiming = false;
 };
 
@@ -247,8 +250,8 @@
     m_down_until.resize(kNodes);
   }
 
-  // The number of steps at which two targets held one slot, one took a slot by
-  // an old token, or two nodes led.
+  // Returns the number of steps with a violation: two targets held a slot, a
+  // target took a slot with a stale fencing token, or two nodes led.
   int Run(milliseconds duration) {
     int violations = 0;
     for (milliseconds t{0}; t < duration; t += kStep) {
@@ -300,7 +303,7 @@
     return m_clock.Now() >= m_partitioned_until[a] &&
            m_clock.Now() >= m_partitioned_until[b];
   }
-  // Node `from` sees that no process is there.
+  // Node `from` can see that no process listens at the address of `to`.
   bool RefusesConnections(std::size_t to, std::size_t from) const {
     return m_nodes[to] == nullptr && Reaches(from, to);
   }
@@ -322,7 +325,7 @@
       if (RandomBool(0.0006))
         m_partitioned_until[i] = now + RandomDuration(500, 8000);
       if (RandomBool(0.0004)) {
-        // Its target crashes and is back at once, holding nothing.
+        // The target crashes and restarts at once, without holds.
         m_targets[i] = FakeTarget();
         ++m_target_incarnations[i];
         if (m_nodes[i])
@@ -336,8 +339,8 @@
         until = now + RandomDuration(200, 2500);
     }
     if (RandomBool(0.0004)) {
-      // A majority starts anew, and the others are cut off from it: a leader
-      // among these counts on votes that nobody remembers.
+      // A majority restarts while the others are partitioned from it: a leader
+      // among the others relies on votes that no restarted process remembers.
       const std::size_t first = m_random() % kNodes;
       for (std::size_t k = 0; k < kNodes; ++k) {
         const std::size_t i = (first + k) % kNodes;
@@ -361,8 +364,8 @@
     m_store.is_down = now < m_store_down_until;
   }
 
-  // The leader's process is started anew, so that the next one leads at once,
-  // and owners that had leases of it are cut off.
+  // Restarts the leader's process, so that another node becomes leader at once,
+  // and partitions a node that may have a lease from it.
   void ReplaceLeader() {
     const Clock::TimePoint now = m_clock.Now();
     for (std::size_t i = 0; i < kNodes; ++i) {
@@ -469,7 +472,7 @@
       SendOrders(i);
   }
 
-  // The target sends a report, whether its node lives or not.
+  // The target sends its report whether or not its node is up.
   void StepTarget(std::size_t i) {
     const Clock::TimePoint now = m_clock.Now();
     if (!m_options.grants_by_report || now < m_next_report[i])
@@ -500,7 +503,7 @@
     const std::uint64_t incarnation = node.incarnation;
     const std::int64_t life = m_target_incarnations[i];
     const std::size_t freed = report.released.size();
-    // The answer waits for news.
+    // The reply is delayed until there is a change.
     Schedule(RandomDuration(0, 600),
              [this, i, incarnation, life, number, arrived, sent, freed] {
                if (!IsUp(i) || m_nodes[i]->incarnation != incarnation ||
@@ -523,7 +526,7 @@
     const milliseconds back =
         RandomBool(0.03) ? RandomDuration(50, 1500) : RandomDuration(0, 5);
     Schedule(back, [this, i, life, number, statement, freed, sent] {
-      // Given up by the target, or overtaken by its next report.
+      // The target has abandoned the report or sent the next one.
       if (m_target_incarnations[i] != life || m_report_numbers[i] != number ||
           m_clock.Now() - sent > kReplyTimeout)
         return;
@@ -609,7 +612,8 @@
       }
       return;
     }
-    // The claim may be slow: others may have claimed meanwhile.
+    // The claim may be slow, so that another node may have claimed the mesh in
+    // the meantime.
     const std::uint64_t incarnation = node.incarnation;
     node.is_claiming = true;
     Schedule(RandomDuration(1, 300), [this, i, incarnation, record, end, votes,
@@ -627,8 +631,9 @@
     });
   }
 
-  // What node `i` sees of the process that claimed the mesh: nobody listens at
-  // its address, or another process does, or it is this node's own earlier one.
+  // Whether node `i` can see that the process that claimed the mesh no longer
+  // exists: nobody listens at its address, another process does, or it was an
+  // earlier process of this node.
   bool IsGone(std::size_t i, std::size_t leader, std::uint64_t claimer) const {
     if (leader == i)
       return true;
@@ -684,7 +689,7 @@
     if (!writing || !StoreAnswers(i) || RandomBool(0.5))
       return;
     if (m_store.end != m_nodes[i]->record_end) {
-      // Somebody else has claimed the mesh.
+      // Another node has claimed the mesh.
       m_nodes[i]->leading.reset();
       return;
     }
@@ -698,7 +703,7 @@
     for (const PushHoldTracker::Grant& grant :
          node.ordered.DueGrants(node.lease_until)) {
       if (RandomBool(0.05)) {
-        // Left without an answer, and carried out late.
+        // The grant gets no reply and is processed late.
         const Clock::TimePoint arrived = m_clock.Now();
         const std::int64_t life = m_target_incarnations[i];
         Schedule(RandomDuration(500, 4000), [this, i, grant, arrived, life] {
@@ -786,16 +791,16 @@
   FakeStore m_store;
   Clock::TimePoint m_store_down_until;
   std::vector<DelayedEvent> m_delayed_events;
-  // The highest token by which each target took each probed slot.
+  // Highest fencing token with which each target took each checked slot.
   std::array<std::array<std::uint64_t, kNodes>, kProbes> m_highest_fences{};
   bool m_has_stale_fence = false;
   std::uint32_t m_work_us = 0;
   int m_served_steps = 0;
 };
 
-constexpr milliseconds kPlayed{40'000};
+constexpr milliseconds kSimulatedTime{40'000};
 
-// The first and last seed to play: CITRONGRADE_MODEL_SEEDS, as "41 2000".
+// First and last seed, from CITRONGRADE_MODEL_SEEDS, for example "41 2000".
 std::pair<std::uint64_t, std::uint64_t> SeedsToRun() {
   std::pair<std::uint64_t, std::uint64_t> seeds{1, 40};
   if (const char* wanted = std::getenv("CITRONGRADE_MODEL_SEEDS"))
@@ -806,55 +811,55 @@
 int CountViolations(std::uint64_t seeds, const Options& options) {
   int violations = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed)
-    violations += OwnershipModel(seed, options).Run(kPlayed) > 0 ? 1 : 0;
+    violations += OwnershipModel(seed, options).Run(kSimulatedTime) > 0 ? 1 : 0;
   return violations;
 }
 
 }  // namespace
 
-TEST_CASE("no two targets hold one key, whatever fails") {
+TEST_CASE("no two targets hold the same key under any fault") {
   int served = 0;
   const auto [first, last] = SeedsToRun();
   for (std::uint64_t seed = first; seed <= last; ++seed) {
     OwnershipModel model(seed, Options());
-    CHECK_MESSAGE(model.Run(kPlayed) == 0, "seed ", seed);
+    CHECK_MESSAGE(model.Run(kSimulatedTime) == 0, "seed ", seed);
     served += model.served_steps();
   }
-  // Safety alone could be had by serving nobody. 0.38 of the time is what was
-  // left in a mesh whose nodes and store fail every few seconds.
+  // A mesh that serves nobody would be safe as well. The measured served share
+  // of time was 0.38, in a mesh whose nodes and store fail every few seconds.
   CHECK(served >
-        static_cast<int>(last - first + 1) * (kPlayed / kStep) * 3 / 10);
+        static_cast<int>(last - first + 1) * (kSimulatedTime / kStep) * 3 / 10);
 }
 
-TEST_CASE("no two targets that are granted keys by report hold one") {
+TEST_CASE("no two targets that get grants by report hold the same key") {
   Options options;
   options.grants_by_report = true;
   int served = 0;
   const auto [first, last] = SeedsToRun();
   for (std::uint64_t seed = first; seed <= last; ++seed) {
     OwnershipModel model(seed, options);
-    CHECK_MESSAGE(model.Run(kPlayed) == 0, "seed ", seed);
+    CHECK_MESSAGE(model.Run(kSimulatedTime) == 0, "seed ", seed);
     served += model.served_steps();
   }
-  // As above: safety alone could be had by serving nobody.
+  // As above: a mesh that serves nobody would be safe as well.
   CHECK(served >
-        static_cast<int>(last - first + 1) * (kPlayed / kStep) * 2 / 10);
+        static_cast<int>(last - first + 1) * (kSimulatedTime / kStep) * 2 / 10);
 }
 
-TEST_CASE("the model reports a lease that ends before its target's holds") {
+TEST_CASE("the model reports leases that expire before their targets' holds") {
   Options options;
   options.grants_by_report = true;
   options.timing.max_clock_drift = milliseconds(-1200);
   CHECK(CountViolations(30, options) > 0);
 }
 
-TEST_CASE("the model reports a leader that does not wait for old leases") {
+TEST_CASE("the model reports a leader that does not wait for earlier leases") {
   Options options;
   options.timing.max_clock_drift = milliseconds(-1200);
   CHECK(CountViolations(30, options) > 0);
 }
 
-TEST_CASE("the model reports a leader that takes long leases for short ones") {
+TEST_CASE("the model reports a leader that does not know of extended leases") {
   Options options;
   options.stores_lease_length = false;
   CHECK(CountViolations(120, options) > 0);
@@ -868,7 +873,7 @@
   CHECK(CountViolations(40, options) > 0);
 }
 
-TEST_CASE("the model reports grants whose late arrival nobody waits for") {
+TEST_CASE("the model reports a release that ignores grants without a reply") {
   Options options;
   options.waits_for_unanswered_grants = false;
   CHECK(CountViolations(40, options) > 0);
--- a/modules/coordination/mesh/polling_hold_tracker_test.cc
+++ b/modules/coordination/mesh/polling_hold_tracker_test.cc
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr milliseconds kLease{1900};
-constexpr milliseconds kBeat{870};
+constexpr milliseconds kReportInterval{870};
 
 struct Fixture {
-  // One report and its answer.
+  // Passes a report and returns its reply.
   PollingHoldTracker::GrantReply Beat(
       const PollingHoldTracker::Report& report) {
-    clock.Advance(kBeat);
+    clock.Advance(kReportInterval);
     holds.OnReport(report);
     const auto statement =
         holds.MakeGrantReply(clock.Now(), clock.Now() + kLease);
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(Fixture, "keys are served once an answer has granted them") {
+TEST_CASE_FIXTURE(Fixture, "keys are served once a reply has granted them") {
   holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
   CHECK(holds.IsAwaitingGrant(15));
   CHECK(holds.HasPendingChanges());
@@ -55,18 +55,19 @@
   CHECK_FALSE(holds.MayServe(15));
 }
 
-TEST_CASE_FIXTURE(Fixture, "what the target holds is named in every answer") {
+TEST_CASE_FIXTURE(Fixture,
+                  "every reply lists the ranges that the target holds") {
   Hold(10, 20, 5);
   CHECK_FALSE(holds.HasPendingChanges());
   const auto statement = Beat({{{{10, 20}, 5}}, {}});
   REQUIRE(statement.ranges.size() == 1);
-  // It has it already.
+  // The target already has the handover.
   CHECK(statement.ranges.front().handover.empty());
 }
 
-// The answer's time counts from when the report was sent. A node that is slow
-// to answer must not let the target hold keys beyond its own lease.
-TEST_CASE_FIXTURE(Fixture, "a late answer grants no longer than the lease") {
+// Guards against a hold that outlasts the node's lease because the node replies
+// late: the duration counts from when the report was sent.
+TEST_CASE_FIXTURE(Fixture, "a late reply grants no hold beyond the lease") {
   holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
   const Clock::TimePoint reported = clock.Now();
   const Clock::TimePoint lease_until = reported + kLease;
@@ -80,9 +81,11 @@
                   .has_value());
 }
 
-// Keys move to another target. Until an answer leaves them out nobody else can
-// have them, and refusing their requests meanwhile would serve no one.
-TEST_CASE_FIXTURE(Fixture, "keys that are to move are served until an answer") {
+// Guards against an avoidable outage of keys that move to another target: until
+// a reply omits them no other target can hold them, so refusing their requests
+// earlier would help nobody.
+TEST_CASE_FIXTURE(Fixture,
+                  "keys that are to move are served until a reply omits them") {
   Hold(10, 20, 5);
   holds.SetAssignments({MakeOwnedRun(10, 11, 5), MakeMovingRun(12, 13, 5),
                         MakeOwnedRun(14, 20, 5)});
@@ -96,26 +99,29 @@
   CHECK(holds.ReturnedRanges().empty());
 }
 
-TEST_CASE_FIXTURE(Fixture, "keys count as given back when a report says so") {
+TEST_CASE_FIXTURE(Fixture, "keys count as returned once a report says so") {
   Hold(10, 20, 5);
   holds.SetAssignments({MakeMovingRun(10, 20, 5)});
   Beat({{{{10, 20}, 5}}, {}});
-  // Work still runs on them.
+  // Requests for these keys are still running.
   Beat({{{{10, 20}, 5}}, {}});
   CHECK(holds.ReturnedRanges().empty());
   Beat({{}, {{{10, 20}, "token"}}});
   const auto returned = holds.ReturnedRanges();
   REQUIRE(returned.size() == 1);
   CHECK(returned.front().handover == "token");
-  // It is reported until the view shows another owner, and never named again.
+  // The range is reported as returned until the view shows another owner, and
+  // is not listed again.
   CHECK(Beat({}).ranges.empty());
   holds.SetAssignments({});
   CHECK(holds.ReturnedRanges().empty());
 }
 
-// A report that says the keys were freed had no answer and is said again. By
-// then the target has got them back by a higher token and holds them.
-TEST_CASE_FIXTURE(Fixture, "an old word of freed keys ends no later hold") {
+// Guards against a hold that ends because of an outdated report: a report of
+// released keys got no reply and is repeated after the target has got the keys
+// back with a higher fencing token.
+TEST_CASE_FIXTURE(Fixture,
+                  "a repeated report of released keys ends no later hold") {
   Hold(10, 20, 9);
   holds.SetAssignments({MakeMovingRun(10, 20, 9)});
   Beat({{{{10, 20}, 9}}, {}});
@@ -123,14 +129,16 @@
   CHECK(holds.ReturnedRanges().empty());
 }
 
-// Two targets hold the same keys: an answer that named them was lost, or so it
-// seemed, and they were given on at once. Every answer that named them has to
-// have run out first.
-TEST_CASE_FIXTURE(Fixture, "keys nobody reports are waited for") {
+// Guards against two holders of a key: a reply that listed the keys appeared to
+// be lost, and they were reassigned at once. Every reply that listed them has
+// to expire first.
+TEST_CASE_FIXTURE(
+    Fixture,
+    "unreported keys are returned only after their grants expire") {
   holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
   const auto statement = Beat({});
   holds.SetAssignments({MakeMovingRun(10, 20, 5)});
-  // The target says nothing of them, neither held nor freed.
+  // The target reports the keys neither as held nor as released.
   clock.Advance(milliseconds(100));
   holds.MakeGrantReply(clock.Now(), clock.Now() + kLease);
   holds.OnReport({});
@@ -142,7 +150,7 @@
   CHECK(holds.ReturnedRanges().size() == 1);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a lost answer is said again in the next") {
+TEST_CASE_FIXTURE(Fixture, "the next reply repeats a lost grant") {
   holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
   Beat({});
   const auto again = Beat({});
@@ -151,9 +159,11 @@
   CHECK(holds.MayServe(15));
 }
 
-// The target has seen a higher token, by a leader that is gone, and takes the
-// range from no answer. Its callers were refused for good.
-TEST_CASE_FIXTURE(Fixture, "a range that is never taken needs a new token") {
+// Guards against keys whose callers are refused for good: the target has seen a
+// higher fencing token of a previous leader and accepts the range from no
+// reply.
+TEST_CASE_FIXTURE(Fixture,
+                  "a range that the target never accepts needs a new token") {
   holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
   for (unsigned i = 0; i < PollingHoldTracker::kMaxIgnoredReplies; ++i)
     Beat({});
@@ -164,8 +174,9 @@
   CHECK(holds.ReturnedRanges().front().handover.empty());
 }
 
-// A node starts again beside a target that lives on and holds its keys.
-TEST_CASE_FIXTURE(Fixture, "a new process keeps what its target holds") {
+// Guards against lost holds after a restart of the node while its target keeps
+// running and holds its keys.
+TEST_CASE_FIXTURE(Fixture, "a new process keeps the holds of its target") {
   PollingHoldTracker later(clock, kLease);
   later.SetAssignments({MakeOwnedRun(10, 20, 5)});
   later.OnReport({{{{10, 20}, 5}}, {}});
@@ -177,15 +188,16 @@
   CHECK(later.MayServe(15));
 }
 
-TEST_CASE_FIXTURE(Fixture, "what the view gives to nobody here is given back") {
+TEST_CASE_FIXTURE(Fixture,
+                  "ranges that are not assigned to the target are released") {
   holds.OnReport({{{{30, 40}, 7}}, {}});
   CHECK(holds.HasPendingChanges());
   CHECK(Beat({{{{30, 40}, 7}}, {}}).ranges.empty());
 }
 
-// More ranges than an answer can name: those that the target has go first, or
-// it would give them back.
-TEST_CASE_FIXTURE(Fixture, "a full answer names first what is held") {
+// Guards against holds that the target releases because a reply can't list all
+// ranges: those that it already holds are listed first.
+TEST_CASE_FIXTURE(Fixture, "a full reply lists held ranges first") {
   std::vector<SlotAssignment> owned;
   for (std::uint32_t i = 0; i < 60; ++i)
     owned.push_back(MakeOwnedRun(1000 + 2 * i, 1000 + 2 * i, 100 + i));
