--- a/modules/coordination/mesh/leadership_lease.cc
+++ b/modules/coordination/mesh/leadership_lease.cc
@@ -24,9 +24,9 @@
 }
 
 void LeadershipLease::OnPromise(const std::string& voter,
-                                Clock::TimePoint not_after) {
+                                Clock::TimePoint earliest) {
   Clock::TimePoint& until = m_promise_ends[voter];
-  until = std::max(until, not_after + m_promise_validity);
+  until = std::max(until, earliest + m_promise_validity);
 }
 
 void LeadershipLease::OnPromiseWithdrawn(const std::string& voter) {
--- a/modules/coordination/mesh/leadership_lease.h
+++ b/modules/coordination/mesh/leadership_lease.h
@@ -30,8 +30,8 @@
   // called.
   void SetPendingVoters(std::vector<std::string> voters);
 
-  // `not_after`: a time that is no later than the promise.
-  void OnPromise(const std::string& voter, Clock::TimePoint not_after);
+  // `earliest`: a time that is no later than the voter's promise.
+  void OnPromise(const std::string& voter, Clock::TimePoint earliest);
   void OnPromiseWithdrawn(const std::string& voter);
 
   Clock::TimePoint ValidUntil() const;
--- a/modules/coordination/mesh/lease_duration_controller_test.cc
+++ b/modules/coordination/mesh/lease_duration_controller_test.cc
@@ -36,11 +36,11 @@
 class BusyTarget {
  public:
   explicit BusyTarget(milliseconds mean)
-      : m_work(
+      : m_service_times(
             std::log(static_cast<double>(mean.count())) - kSpread * kSpread / 2,
             kSpread) {
     m_clock.Advance(milliseconds(4000));
-    m_book.SetAssignments({MakeOwnedRun(0, 9, 1)});
+    m_holds.SetAssignments({MakeOwnedRun(0, 9, 1)});
   }
 
   // Fraction of requests, started at any time, whose service time exceeds the
@@ -56,12 +56,12 @@
         lease_until = m_clock.Now() + lease;
         next_heartbeat = m_clock.Now() + MeshTiming().heartbeat_interval;
       }
-      for (const PushHoldTracker::Grant& grant : m_book.DueGrants(lease_until))
-        m_book.OnGranted(grant.id);
+      for (const PushHoldTracker::Grant& grant : m_holds.DueGrants(lease_until))
+        m_holds.OnGranted(grant.id);
       const std::chrono::duration<double, std::milli> service_time(
-          m_work(m_random));
+          m_service_times(m_random));
       ++started;
-      outlasting += service_time > m_book.RemainingHold(5) ? 1 : 0;
+      outlasting += service_time > m_holds.RemainingHold(5) ? 1 : 0;
     }
     return static_cast<double>(outlasting) / started;
   }
@@ -70,9 +70,9 @@
   static constexpr double kSpread = 0.8;
 
   ManualClock m_clock;
-  PushHoldTracker m_book{m_clock};
+  PushHoldTracker m_holds{m_clock};
   std::mt19937_64 m_random{kSeed};
-  std::lognormal_distribution<> m_work;
+  std::lognormal_distribution<> m_service_times;
 };
 
 }  // namespace
--- a/modules/coordination/mesh/mesh_leader.cc
+++ b/modules/coordination/mesh/mesh_leader.cc
@@ -36,14 +36,14 @@
 // nodes have sent a heartbeat.
 constexpr std::chrono::milliseconds kFirstHeartbeatsDelay{700};
 
-double CapacityOf(const Heartbeat& last) {
-  const double work = last.mean_service_time_us > 0
-                          ? last.mean_service_time_us / 1e6
-                          : kDefaultServiceTimeSeconds;
-  const double slots = std::max<std::uint32_t>(1, last.target.concurrency);
-  const double capacity = slots / work;
-  return last.target.warm_up_left_ms > 0 ? capacity * kColdCapacityFactor
-                                         : capacity;
+double CapacityOf(const Heartbeat& heartbeat) {
+  const double service_time_s = heartbeat.mean_service_time_us > 0
+                                    ? heartbeat.mean_service_time_us / 1e6
+                                    : kDefaultServiceTimeSeconds;
+  const double slots = std::max<std::uint32_t>(1, heartbeat.target.concurrency);
+  const double capacity = slots / service_time_s;
+  return heartbeat.target.warm_up_left_ms > 0 ? capacity * kColdCapacityFactor
+                                              : capacity;
 }
 
 }  // namespace
--- a/modules/coordination/mesh/mesh_leader_test.cc
+++ b/modules/coordination/mesh/mesh_leader_test.cc
@@ -36,20 +36,20 @@
   // Assignments that the view tells their owner to release.
   std::vector<SlotAssignment> MovingRunsOf(const std::string& address) const {
     std::vector<SlotAssignment> moving;
-    for (SlotAssignment run :
+    for (SlotAssignment assignment :
          leader->view().FindTable("divided")->assignments()) {
-      run.version = 0;
-      if (run.owner == address && run.is_moving())
-        moving.push_back(run);
+      assignment.version = 0;
+      if (assignment.owner == address && assignment.is_moving())
+        moving.push_back(assignment);
     }
     return moving;
   }
 
   void GiveBack(const std::string& address,
-                const std::vector<SlotAssignment>& runs) {
-    for (const SlotAssignment& run : runs) {
+                const std::vector<SlotAssignment>& assignments) {
+    for (const SlotAssignment& assignment : assignments) {
       Node(address).released.push_back(
-          {"divided", run.range, run.fence, "token"});
+          {"divided", assignment.range, assignment.fence, "token"});
     }
   }
 
@@ -177,10 +177,11 @@
   Node("a").target.incarnation = {"t-a", 99};
   Node("b").target.incarnation = {"t-b", 99};
   Run(milliseconds(500));
-  const SlotAssignment& run = leader->view().FindTable("divided")->Find(0);
-  CHECK(run.has_owner());
-  CHECK(run.incarnation.started_unix_ms == 99);
-  CHECK(run.fence > fence);
+  const SlotAssignment& assignment =
+      leader->view().FindTable("divided")->Find(0);
+  CHECK(assignment.has_owner());
+  CHECK(assignment.incarnation.started_unix_ms == 99);
+  CHECK(assignment.fence > fence);
 }
 
 TEST_CASE_FIXTURE(Fixture,
@@ -302,9 +303,9 @@
   GiveBack("b", moving);
   Run(milliseconds(50));
   const KeyTable* table = leader->view().FindTable("divided");
-  for (const SlotAssignment& run : moving) {
-    CHECK(table->Find(run.range.first).owner == run.next.address);
-    CHECK(table->Find(run.range.first).fence == run.next.fence);
+  for (const SlotAssignment& assignment : moving) {
+    CHECK(table->Find(assignment.range.first).owner == assignment.next.address);
+    CHECK(table->Find(assignment.range.first).fence == assignment.next.fence);
   }
 }
 
--- a/modules/coordination/mesh/ownership_model_test.cc
+++ b/modules/coordination/mesh/ownership_model_test.cc
@@ -82,7 +82,7 @@
       if (hold.range.Overlaps(grant.range) && hold.fence > grant.fence)
         return;
     }
-    // Its clock may run 2 % slow.
+    // The target's clock may run 2 % slow.
     const auto length =
         std::chrono::duration_cast<Clock::Duration>(grant.hold * 1.02);
     if (arrived + length > now)
@@ -138,24 +138,25 @@
 
   // Applies the reply to a report that was sent at `sent`. `work`: time for
   // which the target still works on the ranges that it has to release.
-  void ApplyReply(const PollingHoldTracker::GrantReply& statement,
-                  std::size_t freed_told,
+  void ApplyReply(const PollingHoldTracker::GrantReply& grant_reply,
+                  std::size_t reported_releases,
                   Clock::TimePoint sent,
                   Clock::TimePoint now,
                   milliseconds work) {
-    m_released.erase(m_released.begin(),
-                     m_released.begin() + static_cast<std::ptrdiff_t>(std::min(
-                                              freed_told, m_released.size())));
+    m_released.erase(
+        m_released.begin(),
+        m_released.begin() + static_cast<std::ptrdiff_t>(std::min(
+                                 reported_releases, m_released.size())));
     const std::vector<Hold> before = std::exchange(m_holds, {});
-    for (const PollingHoldTracker::GrantedRange& row : statement.ranges) {
+    for (const PollingHoldTracker::GrantedRange& row : grant_reply.ranges) {
       const bool is_refused =
           std::any_of(before.begin(), before.end(), [&row](const Hold& hold) {
             return hold.range.Overlaps(row.range) && hold.fence > row.fence;
           });
-      // Its clock may run 2 % slow.
+      // The target's clock may run 2 % slow.
       const Clock::TimePoint until =
           sent +
-          std::chrono::duration_cast<Clock::Duration>(statement.hold * 1.02);
+          std::chrono::duration_cast<Clock::Duration>(grant_reply.hold * 1.02);
       if (!is_refused && until > now)
         m_holds.push_back({row.range, row.fence, until});
     }
@@ -203,17 +204,17 @@
                 options.abstains_after_start
                     ? Clock::Duration(options.timing.vote_duration)
                     : Clock::Duration(0)),
-        ordered(clock),
-        reported(clock, options.timing.min_lease),
-        book(options.grants_by_report
-                 ? static_cast<TargetHoldTracker&>(reported)
-                 : static_cast<TargetHoldTracker&>(ordered)) {}
+        push_holds(clock),
+        polling_holds(clock, options.timing.min_lease),
+        holds(options.grants_by_report
+                  ? static_cast<TargetHoldTracker&>(polling_holds)
+                  : static_cast<TargetHoldTracker&>(push_holds)) {}
 
   VotePromise promise;
-  PushHoldTracker ordered;
-  PollingHoldTracker reported;
+  PushHoldTracker push_holds;
+  PollingHoldTracker polling_holds;
   // The tracker in use.
-  TargetHoldTracker& book;
+  TargetHoldTracker& holds;
   // Number of the target's last report.
   std::uint64_t report_number = 0;
   MeshView view;
@@ -329,7 +330,7 @@
         m_targets[i] = FakeTarget();
         ++m_target_incarnations[i];
         if (m_nodes[i])
-          m_nodes[i]->book.Clear();
+          m_nodes[i]->holds.Clear();
       }
     }
     if (RandomBool(0.0003)) {
@@ -414,7 +415,7 @@
     heartbeat.target.concurrency = 8;
     heartbeat.mean_service_time_us = m_work_us;
     for (const TargetHoldTracker::ReturnedRange& range :
-         node.book.ReturnedRanges())
+         node.holds.ReturnedRanges())
       heartbeat.released.push_back(
           {"divided", range.range, range.fence, range.handover});
     if (RandomBool(0.3)) {
@@ -437,7 +438,7 @@
     node.leader_nonce = reply.nonce;
     node.leader_stamp_ns = reply.stamp_ns;
     node.view.Apply(reply.view);
-    node.book.SetMaxLease(milliseconds(reply.max_lease_ms));
+    node.holds.SetMaxLease(milliseconds(reply.max_lease_ms));
     if (reply.lease_ms > 0)
       node.lease_until =
           std::max(node.lease_until, sent + milliseconds(reply.lease_ms));
@@ -447,15 +448,16 @@
   void Own(std::size_t i) {
     std::vector<SlotAssignment> owned;
     const KeyTable* table = m_nodes[i]->view.FindTable("divided");
-    const TargetIncarnation life{"t" + std::to_string(i),
-                                 m_target_incarnations[i]};
+    const TargetIncarnation target_incarnation{"t" + std::to_string(i),
+                                               m_target_incarnations[i]};
     if (table != nullptr) {
-      for (const SlotAssignment& run : table->assignments()) {
-        if (run.owner == AddressOf(i) && run.incarnation == life)
-          owned.push_back(run);
+      for (const SlotAssignment& assignment : table->assignments()) {
+        if (assignment.owner == AddressOf(i) &&
+            assignment.incarnation == target_incarnation)
+          owned.push_back(assignment);
       }
     }
-    m_nodes[i]->book.SetAssignments(owned);
+    m_nodes[i]->holds.SetAssignments(owned);
   }
 
   void StepNode(std::size_t i) {
@@ -480,12 +482,12 @@
     m_next_report[i] = now + (m_targets[i].IsReleasing() ? kReleasePollInterval
                                                          : kReportInterval);
     const std::uint64_t number = ++m_report_numbers[i];
-    const std::int64_t life = m_target_incarnations[i];
+    const std::int64_t target_incarnation = m_target_incarnations[i];
     const PollingHoldTracker::Report report = m_targets[i].Report(now);
-    const milliseconds there =
+    const milliseconds request_delay =
         RandomBool(0.03) ? RandomDuration(300, 3000) : RandomDuration(0, 5);
-    Schedule(there, [this, i, life, number, report, now] {
-      if (!IsUp(i) || m_target_incarnations[i] != life ||
+    Schedule(request_delay, [this, i, target_incarnation, number, report, now] {
+      if (!IsUp(i) || m_target_incarnations[i] != target_incarnation ||
           number <= m_nodes[i]->report_number)
         return;
       OnReport(i, number, report, now);
@@ -498,41 +500,43 @@
                 Clock::TimePoint sent) {
     Node& node = *m_nodes[i];
     node.report_number = number;
-    node.reported.OnReport(report);
+    node.polling_holds.OnReport(report);
     const Clock::TimePoint arrived = m_clock.Now();
     const std::uint64_t incarnation = node.incarnation;
-    const std::int64_t life = m_target_incarnations[i];
-    const std::size_t freed = report.released.size();
+    const std::int64_t target_incarnation = m_target_incarnations[i];
+    const std::size_t released_count = report.released.size();
     // The reply is delayed until there is a change.
-    Schedule(RandomDuration(0, 600),
-             [this, i, incarnation, life, number, arrived, sent, freed] {
-               if (!IsUp(i) || m_nodes[i]->incarnation != incarnation ||
-                   m_nodes[i]->report_number != number ||
-                   m_target_incarnations[i] != life)
-                 return;
-               const auto statement = m_nodes[i]->reported.MakeGrantReply(
-                   arrived, m_nodes[i]->lease_until);
-               if (statement && !RandomBool(0.08))
-                 DeliverReply(i, life, number, *statement, freed, sent);
-             });
+    Schedule(RandomDuration(0, 600), [this, i, incarnation, target_incarnation,
+                                      number, arrived, sent, released_count] {
+      if (!IsUp(i) || m_nodes[i]->incarnation != incarnation ||
+          m_nodes[i]->report_number != number ||
+          m_target_incarnations[i] != target_incarnation)
+        return;
+      const auto grant_reply = m_nodes[i]->polling_holds.MakeGrantReply(
+          arrived, m_nodes[i]->lease_until);
+      if (grant_reply && !RandomBool(0.08))
+        DeliverReply(i, target_incarnation, number, *grant_reply,
+                     released_count, sent);
+    });
   }
 
   void DeliverReply(std::size_t i,
-                    std::int64_t life,
+                    std::int64_t target_incarnation,
                     std::uint64_t number,
-                    const PollingHoldTracker::GrantReply& statement,
-                    std::size_t freed,
+                    const PollingHoldTracker::GrantReply& grant_reply,
+                    std::size_t released_count,
                     Clock::TimePoint sent) {
-    const milliseconds back =
+    const milliseconds reply_delay =
         RandomBool(0.03) ? RandomDuration(50, 1500) : RandomDuration(0, 5);
-    Schedule(back, [this, i, life, number, statement, freed, sent] {
+    Schedule(reply_delay, [this, i, target_incarnation, number, grant_reply,
+                           released_count, sent] {
       // The target has abandoned the report or sent the next one.
-      if (m_target_incarnations[i] != life || m_report_numbers[i] != number ||
-          m_clock.Now() - sent > kReplyTimeout)
+      if (m_target_incarnations[i] != target_incarnation ||
+          m_report_numbers[i] != number || m_clock.Now() - sent > kReplyTimeout)
         return;
-      for (const PollingHoldTracker::GrantedRange& row : statement.ranges)
+      for (const PollingHoldTracker::GrantedRange& row : grant_reply.ranges)
         CheckFence(i, row.range, row.fence);
-      m_targets[i].ApplyReply(statement, freed, sent, m_clock.Now(),
+      m_targets[i].ApplyReply(grant_reply, released_count, sent, m_clock.Now(),
                               RandomDuration(0, 400));
     });
   }
@@ -557,16 +561,16 @@
     Heartbeat heartbeat = Compose(i, promises);
     if (!Reaches(i, to) || RandomBool(0.02))
       return;
-    const milliseconds there =
+    const milliseconds request_delay =
         RandomBool(0.03) ? RandomDuration(100, 900) : RandomDuration(1, 15);
-    Schedule(there, [this, i, to, sent, incarnation, heartbeat] {
+    Schedule(request_delay, [this, i, to, sent, incarnation, heartbeat] {
       if (!IsUp(to) || !m_nodes[to]->leading)
         return;
       m_nodes[to]->leading->OnHeartbeat(heartbeat);
       const HeartbeatReply reply = m_nodes[to]->leading->MakeReply(heartbeat);
-      const milliseconds back =
+      const milliseconds reply_delay =
           RandomBool(0.03) ? RandomDuration(100, 900) : RandomDuration(1, 15);
-      Schedule(back, [this, i, incarnation, reply, sent] {
+      Schedule(reply_delay, [this, i, incarnation, reply, sent] {
         OnReply(i, incarnation, reply, sent);
       });
     });
@@ -701,31 +705,33 @@
   void SendOrders(std::size_t i) {
     Node& node = *m_nodes[i];
     for (const PushHoldTracker::Grant& grant :
-         node.ordered.DueGrants(node.lease_until)) {
+         node.push_holds.DueGrants(node.lease_until)) {
       if (RandomBool(0.05)) {
         // The grant gets no reply and is processed late.
         const Clock::TimePoint arrived = m_clock.Now();
-        const std::int64_t life = m_target_incarnations[i];
-        Schedule(RandomDuration(500, 4000), [this, i, grant, arrived, life] {
-          if (m_target_incarnations[i] == life)
-            m_targets[i].Grant(grant, arrived, m_clock.Now());
-        });
+        const std::int64_t target_incarnation = m_target_incarnations[i];
+        Schedule(RandomDuration(500, 4000),
+                 [this, i, grant, arrived, target_incarnation] {
+                   if (m_target_incarnations[i] == target_incarnation)
+                     m_targets[i].Grant(grant, arrived, m_clock.Now());
+                 });
         if (m_options.waits_for_unanswered_grants)
-          node.ordered.OnGrantUnanswered(grant.id);
+          node.push_holds.OnGrantUnanswered(grant.id);
         else
-          node.ordered.OnGranted(grant.id);
+          node.push_holds.OnGranted(grant.id);
         continue;
       }
       m_targets[i].Grant(grant, m_clock.Now(), m_clock.Now());
       CheckFence(i, grant.range, grant.fence);
-      node.ordered.OnGranted(grant.id);
+      node.push_holds.OnGranted(grant.id);
     }
-    for (const PushHoldTracker::Release& release : node.ordered.DueReleases()) {
+    for (const PushHoldTracker::Release& release :
+         node.push_holds.DueReleases()) {
       m_targets[i].Release(release.range);
       if (RandomBool(0.05))
-        node.ordered.OnReleaseUnanswered(release.id);
+        node.push_holds.OnReleaseUnanswered(release.id);
       else
-        node.ordered.OnReleased(release.id, "h");
+        node.push_holds.OnReleased(release.id, "h");
     }
   }
 
@@ -770,7 +776,7 @@
 
   bool IsServed(std::uint32_t slot) const {
     for (std::size_t i = 0; i < kNodes; ++i) {
-      if (IsUp(i) && m_nodes[i]->book.MayServe(slot))
+      if (IsUp(i) && m_nodes[i]->holds.MayServe(slot))
         return true;
     }
     return false;
--- a/modules/coordination/mesh/polling_hold_tracker.cc
+++ b/modules/coordination/mesh/polling_hold_tracker.cc
@@ -9,8 +9,8 @@
 using std::chrono::milliseconds;
 
 PollingHoldTracker::PollingHoldTracker(const Clock& clock,
-                                       Clock::Duration earlier)
-    : TargetHoldTracker(clock, earlier) {}
+                                       Clock::Duration earlier_grants)
+    : TargetHoldTracker(clock, earlier_grants) {}
 
 void PollingHoldTracker::OnMustRelease(Hold& hold) {
   // The range is served until a reply omits it: until then the target holds it,
@@ -114,8 +114,8 @@
                                    Clock::TimePoint lease_until) {
   const auto left =
       std::chrono::duration<double, std::milli>(lease_until - reported);
-  GrantReply statement;
-  statement.hold = milliseconds(
+  GrantReply reply;
+  reply.hold = milliseconds(
       static_cast<std::int64_t>(left.count() * kMinTargetClockRate));
   if (lease_until - Now() < kMinHold)
     return std::nullopt;
@@ -142,19 +142,18 @@
       ++omitted;
       continue;
     }
-    statement.ranges.push_back({hold->range, hold->fence, handover});
+    reply.ranges.push_back({hold->range, hold->fence, handover});
     hold->state = State::kHeld;
     hold->serve_until =
-        std::max(hold->serve_until, reported + statement.hold - kServeMargin);
-    hold->may_hold_until =
-        std::max(hold->may_hold_until,
-                 reported + MaxDurationByNodeClock(statement.hold));
+        std::max(hold->serve_until, reported + reply.hold - kServeMargin);
+    hold->may_hold_until = std::max(
+        hold->may_hold_until, reported + MaxDurationByNodeClock(reply.hold));
   }
   if (omitted > 0) {
     spdlog::warn("event=grants-omitted ranges={} reason=\"answer too long\"",
                  omitted);
   }
-  return statement;
+  return reply;
 }
 
 std::vector<TargetHoldTracker::ReturnedRange>
--- a/modules/coordination/mesh/polling_hold_tracker.h
+++ b/modules/coordination/mesh/polling_hold_tracker.h
@@ -87,9 +87,9 @@
   // replies may be lost in a row while a node is slow.
   static constexpr unsigned kMaxIgnoredReplies = 3;
 
-  // `earlier`: upper bound of the remaining time of grants by an earlier
+  // `earlier_grants`: upper bound of the remaining time of grants by an earlier
   // process of this node.
-  PollingHoldTracker(const Clock& clock, Clock::Duration earlier);
+  PollingHoldTracker(const Clock& clock, Clock::Duration earlier_grants);
 
   void OnReport(const Report& report);
   // True if a reply would change what the target holds, or if the target is
--- a/modules/coordination/mesh/polling_hold_tracker_test.cc
+++ b/modules/coordination/mesh/polling_hold_tracker_test.cc
@@ -23,10 +23,9 @@
       const PollingHoldTracker::Report& report) {
     clock.Advance(kReportInterval);
     holds.OnReport(report);
-    const auto statement =
-        holds.MakeGrantReply(clock.Now(), clock.Now() + kLease);
-    REQUIRE(statement.has_value());
-    return *statement;
+    const auto reply = holds.MakeGrantReply(clock.Now(), clock.Now() + kLease);
+    REQUIRE(reply.has_value());
+    return *reply;
   }
 
   void Hold(std::uint32_t first, std::uint32_t last, std::uint64_t fence) {
@@ -45,13 +44,13 @@
   holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
   CHECK(holds.IsAwaitingGrant(15));
   CHECK(holds.HasPendingChanges());
-  const auto statement = Beat({});
-  REQUIRE(statement.ranges.size() == 1);
-  CHECK(statement.ranges.front().handover == "from-before");
-  CHECK(statement.hold < kLease);
+  const auto reply = Beat({});
+  REQUIRE(reply.ranges.size() == 1);
+  CHECK(reply.ranges.front().handover == "from-before");
+  CHECK(reply.hold < kLease);
   CHECK(holds.MayServe(15));
   CHECK_FALSE(holds.MayServe(21));
-  clock.Advance(statement.hold);
+  clock.Advance(reply.hold);
   CHECK_FALSE(holds.MayServe(15));
 }
 
@@ -59,10 +58,10 @@
                   "every reply lists the ranges that the target holds") {
   Hold(10, 20, 5);
   CHECK_FALSE(holds.HasPendingChanges());
-  const auto statement = Beat({{{{10, 20}, 5}}, {}});
-  REQUIRE(statement.ranges.size() == 1);
+  const auto reply = Beat({{{{10, 20}, 5}}, {}});
+  REQUIRE(reply.ranges.size() == 1);
   // The target already has the handover.
-  CHECK(statement.ranges.front().handover.empty());
+  CHECK(reply.ranges.front().handover.empty());
 }
 
 // Guards against a hold that outlasts the node's lease because the node replies
@@ -73,10 +72,10 @@
   const Clock::TimePoint lease_until = reported + kLease;
   holds.OnReport({});
   clock.Advance(milliseconds(600));
-  const auto statement = holds.MakeGrantReply(reported, lease_until);
-  REQUIRE(statement.has_value());
-  // By a clock that runs 2 % slow.
-  CHECK(reported + statement->hold * 102 / 100 <= lease_until);
+  const auto reply = holds.MakeGrantReply(reported, lease_until);
+  REQUIRE(reply.has_value());
+  // The target's clock may run 2 % slow.
+  CHECK(reported + reply->hold * 102 / 100 <= lease_until);
   CHECK_FALSE(holds.MakeGrantReply(reported, clock.Now() + milliseconds(10))
                   .has_value());
 }
@@ -91,8 +90,8 @@
                         MakeOwnedRun(14, 20, 5)});
   CHECK(holds.HasPendingChanges());
   CHECK(holds.MayServe(12));
-  const auto statement = Beat({{{{10, 20}, 5}}, {}});
-  REQUIRE(statement.ranges.size() == 2);
+  const auto reply = Beat({{{{10, 20}, 5}}, {}});
+  REQUIRE(reply.ranges.size() == 2);
   CHECK_FALSE(holds.MayServe(12));
   CHECK(holds.IsBeingReleased(12));
   CHECK(holds.MayServe(11));
@@ -136,15 +135,15 @@
     Fixture,
     "unreported keys are returned only after their grants expire") {
   holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
-  const auto statement = Beat({});
+  const auto reply = Beat({});
   holds.SetAssignments({MakeMovingRun(10, 20, 5)});
   // The target reports the keys neither as held nor as released.
   clock.Advance(milliseconds(100));
   holds.MakeGrantReply(clock.Now(), clock.Now() + kLease);
   holds.OnReport({});
   CHECK(holds.ReturnedRanges().empty());
-  // By a clock that runs 2 % slow.
-  clock.Advance(statement.hold - milliseconds(100));
+  // The target's clock may run 2 % slow.
+  clock.Advance(reply.hold - milliseconds(100));
   CHECK(holds.ReturnedRanges().empty());
   clock.Advance(milliseconds(100));
   CHECK(holds.ReturnedRanges().size() == 1);
@@ -177,15 +176,15 @@
 // Guards against lost holds after a restart of the node while its target keeps
 // running and holds its keys.
 TEST_CASE_FIXTURE(Fixture, "a new process keeps the holds of its target") {
-  PollingHoldTracker later(clock, kLease);
-  later.SetAssignments({MakeOwnedRun(10, 20, 5)});
-  later.OnReport({{{{10, 20}, 5}}, {}});
-  const auto statement =
-      later.MakeGrantReply(clock.Now(), clock.Now() + kLease);
-  REQUIRE(statement.has_value());
-  REQUIRE(statement->ranges.size() == 1);
-  CHECK(statement->ranges.front().handover.empty());
-  CHECK(later.MayServe(15));
+  PollingHoldTracker restarted(clock, kLease);
+  restarted.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  restarted.OnReport({{{{10, 20}, 5}}, {}});
+  const auto reply =
+      restarted.MakeGrantReply(clock.Now(), clock.Now() + kLease);
+  REQUIRE(reply.has_value());
+  REQUIRE(reply->ranges.size() == 1);
+  CHECK(reply->ranges.front().handover.empty());
+  CHECK(restarted.MayServe(15));
 }
 
 TEST_CASE_FIXTURE(Fixture,
--- a/modules/coordination/mesh/target_hold_tracker.cc
+++ b/modules/coordination/mesh/target_hold_tracker.cc
@@ -14,13 +14,13 @@
 }
 
 TargetHoldTracker::TargetHoldTracker(const Clock& clock,
-                                     Clock::Duration earlier)
+                                     Clock::Duration earlier_grants)
     : m_clock(clock),
       m_started(clock.Now()),
-      m_untracked_until(m_started + earlier) {}
+      m_untracked_until(m_started + earlier_grants) {}
 
-void TargetHoldTracker::SetMaxLease(Clock::Duration longest) {
-  const Clock::TimePoint until = m_started + longest;
+void TargetHoldTracker::SetMaxLease(Clock::Duration max_lease) {
+  const Clock::TimePoint until = m_started + max_lease;
   m_untracked_until = std::max(m_untracked_until, until);
   for (Hold& hold : m_holds)
     hold.may_hold_until = std::max(hold.may_hold_until, until);
@@ -118,13 +118,13 @@
 }
 
 void TargetHoldTracker::SetAssignments(
-    const std::vector<SlotAssignment>& owned) {
-  for (const SlotAssignment& assignment : owned) {
+    const std::vector<SlotAssignment>& assignments) {
+  for (const SlotAssignment& assignment : assignments) {
     SplitAt(assignment.range.first);
     SplitAt(assignment.range.last + 1);
   }
   std::vector<Hold> next;
-  for (const SlotAssignment& assignment : owned)
+  for (const SlotAssignment& assignment : assignments)
     MoveHoldsOf(assignment, next);
   DropUnassignedHolds();
   m_holds = std::move(next);
--- a/modules/coordination/mesh/target_hold_tracker.h
+++ b/modules/coordination/mesh/target_hold_tracker.h
@@ -40,12 +40,12 @@
 
   virtual ~TargetHoldTracker() = default;
 
-  // `longest`: upper bound of the leases that an earlier process of this node
+  // `max_lease`: upper bound of the leases that an earlier process of this node
   // had. Its grants may hold for that long after the start of this process.
-  void SetMaxLease(Clock::Duration longest);
+  void SetMaxLease(Clock::Duration max_lease);
   // Sets the assignments that the view gives to the target's current
   // incarnation.
-  void SetAssignments(const std::vector<SlotAssignment>& owned);
+  void SetAssignments(const std::vector<SlotAssignment>& assignments);
   // Removes all holds, because the target's process has ended or was replaced
   // by another one.
   void Clear();
@@ -119,9 +119,9 @@
   static std::chrono::milliseconds MaxDurationByNodeClock(
       std::chrono::milliseconds hold);
 
-  // `earlier`: upper bound of the remaining time of grants by an earlier
+  // `earlier_grants`: upper bound of the remaining time of grants by an earlier
   // process of this node.
-  TargetHoldTracker(const Clock& clock, Clock::Duration earlier);
+  TargetHoldTracker(const Clock& clock, Clock::Duration earlier_grants);
 
   // Called when the view moves the range to another owner.
   virtual void OnMustRelease(Hold& hold) = 0;
@@ -137,7 +137,7 @@
   const Hold* FindHold(std::uint32_t slot) const;
   // Moves the assignment's holds from m_holds to `holds`, and adds the parts
   // that still have to be granted.
-  void MoveHoldsOf(const SlotAssignment& run, std::vector<Hold>& holds);
+  void MoveHoldsOf(const SlotAssignment& assignment, std::vector<Hold>& holds);
   // Accounts for the holds left in m_holds, which the view no longer assigns to
   // this target.
   void DropUnassignedHolds();
