--- a/modules/coordination/mesh/mesh_leader.cc
+++ b/modules/coordination/mesh/mesh_leader.cc
@@ -28,9 +28,9 @@
 // times its own.
 constexpr std::uint32_t kMinFitnessRatio = 2;
 // Minimum time for which a leader leads, and for which its successor has been
-// present, before the leader resigns to it. It is longer than a lease, so that
-// the work left by the previous change of leader is done and only nodes that
-// stay are chosen.
+// present, before the leader resigns to it. It is longer than
+// MeshTiming::min_lease, so that the work left by the previous change of leader
+// is done and only nodes that stay are chosen.
 constexpr std::chrono::milliseconds kMinLeaderTenure{3000};
 // Delay after a change of leader in which no keys are assigned, so that most
 // nodes have sent a heartbeat.
@@ -81,8 +81,9 @@
     m_assigner.AddService(service);
 }
 
-void MeshLeader::OnVote(const std::string& voter, Clock::TimePoint asked) {
-  m_leadership_lease.OnPromise(voter, asked);
+void MeshLeader::OnVote(const std::string& voter,
+                        Clock::TimePoint requested_at) {
+  m_leadership_lease.OnPromise(voter, requested_at);
 }
 
 void MeshLeader::OnHeartbeat(const Heartbeat& heartbeat) {
--- a/modules/coordination/mesh/mesh_leader.h
+++ b/modules/coordination/mesh/mesh_leader.h
@@ -49,7 +49,7 @@
   // configuration.
   void SetShardedServices(const std::set<std::string>& services);
 
-  void OnVote(const std::string& voter, Clock::TimePoint asked);
+  void OnVote(const std::string& voter, Clock::TimePoint requested_at);
   void OnHeartbeat(const Heartbeat& heartbeat);
   HeartbeatReply MakeReply(const Heartbeat& heartbeat);
   // True if the node has to get a reply at once, because its own keys have
--- a/modules/coordination/mesh/target_hold_tracker.h
+++ b/modules/coordination/mesh/target_hold_tracker.h
@@ -138,8 +138,8 @@
   // Moves the assignment's holds from m_holds to `holds`, and adds the parts
   // that still have to be granted.
   void MoveHoldsOf(const SlotAssignment& assignment, std::vector<Hold>& holds);
-  // Accounts for the holds left in m_holds, which the view no longer assigns to
-  // this target.
+  // Keeps in m_untracked_until how long the holds left in m_holds may last. The
+  // view no longer assigns these to this target.
   void DropUnassignedHolds();
 
   const Clock& m_clock;
