--- a/modules/coordination/mesh/leadership_lease.cc
+++ b/modules/coordination/mesh/leadership_lease.cc
@@ -24,9 +24,9 @@
 }
 
 void LeadershipLease::OnPromise(const std::string& voter,
-                                Clock::TimePoint not_after) {
+                                Clock::TimePoint earliest) {
   Clock::TimePoint& until = m_promise_ends[voter];
-  until = std::max(until, not_after + m_promise_validity);
+  until = std::max(until, earliest + m_promise_validity);
 }
 
 void LeadershipLease::OnPromiseWithdrawn(const std::string& voter) {
@@ -41,7 +41,8 @@
   ends.reserve(voters.size());
   for (const std::string& voter : voters) {
     const auto found = m_promise_ends.find(voter);
-    // The leader's own vote needs no promise: it would have to break it itself.
+    // The leader's own vote can't expire: the leader itself would have to give
+    // it to another candidate first.
     if (voter == m_self)
       ends.push_back(Clock::TimePoint::max());
     else
