--- a/modules/transport/mesh/loop_monitor.cc
+++ b/modules/transport/mesh/loop_monitor.cc
@@ -11,7 +11,8 @@
 
 using std::chrono::milliseconds;
 
-// A heartbeat answered so late is still in time; twice that is not.
+// A heartbeat answered this late is still within its timeout; one answered
+// after twice this time is not.
 constexpr milliseconds kWarningDelay{150};
 constexpr std::chrono::seconds kLogInterval{1};
 
--- a/modules/transport/mesh/loop_monitor.h
+++ b/modules/transport/mesh/loop_monitor.h
@@ -9,30 +9,31 @@
 
 namespace citrongrade {
 
-// What holds up a node's one event loop. While one step of it computes, nothing
-// else is answered: a leader that plans for longer than the others wait for its
-// answer is taken for lost.
+// Measures what delays a node's single event loop. While one step computes, the
+// loop answers nothing else: a leader that plans for longer than the other
+// nodes' heartbeat timeout is treated as lost.
 //
-// How to use it: a Section around each step whose cost grows with the mesh, and
-// OnTimer() whenever a timer of known time has run. A loop that is late logs
-// where its time went, once a second at most. Thread-confined.
+// Create a ScopedTimer around each step whose cost grows with the mesh, and
+// call OnTimerFired() whenever a timer with a known expiry has run. When a
+// timer is late, the monitor logs where the time went, at most once a second.
+// Thread-confined.
 class LoopMonitor {
  public:
   enum class Activity : std::size_t {
-    // Planning who owns what, as the leader.
+    // The leader plans which node owns which keys.
     kPlan,
-    // Taking a heartbeat and answering it, as the leader.
+    // The leader processes a heartbeat and encodes the reply.
     kAnswerHeartbeat,
-    // Taking over the leader's news.
+    // A node decodes and applies the leader's reply.
     kApplyView,
-    // Reading and writing the mesh's stored record.
+    // Encoding and decoding the mesh's stored record.
     kMeshRecord,
-    // Taking over the configuration, and telling it to other nodes.
+    // Applying the configuration, and encoding it for other nodes.
     kConfig,
   };
   static constexpr std::size_t kActivityCount = 5;
 
-  // Counts the time until its end for an activity.
+  // Adds the time from construction to destruction to an activity.
   class ScopedTimer {
    public:
     ScopedTimer(LoopMonitor& monitor, Activity activity)
@@ -51,24 +52,23 @@
 
   explicit LoopMonitor(const Clock& clock);
 
-  // A timer ran so much later than it was set for.
+  // `late`: time between the timer's expiry and its handler.
   void OnTimerFired(Clock::Duration late);
 
-  // The latest that a timer has been.
+  // The longest delay of a timer so far.
   Clock::Duration max_delay() const { return m_max_delay; }
-  // In all; a Section inside another counts in both.
+  // Total time of an activity; nested ScopedTimers each count in full.
   Clock::Duration TotalTime(Activity activity) const;
-  // The longest single Section.
+  // The longest single ScopedTimer of an activity.
   Clock::Duration LongestTime(Activity activity) const;
 
-  // In the text format that collectors of metrics read.
+  // Returns the Prometheus text format.
   std::string ToText() const;
 
  private:
   struct Times {
     Clock::Duration total{0};
     Clock::Duration longest{0};
-    // Since the last line of the log.
     Clock::Duration since_last_log{0};
   };
 
--- a/modules/transport/mesh/mesh_agent.cc
+++ b/modules/transport/mesh/mesh_agent.cc
@@ -34,36 +34,44 @@
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
-// Beyond the time for which the leader may hold its answer: a frozen or lost
-// leader is given up after two of these.
+// Timeout beyond the time for which the leader may hold its reply. A node gives
+// up a frozen or lost leader after two such timeouts.
 constexpr milliseconds kReplyTimeoutMargin{350};
 constexpr milliseconds kVoteTimeout{250};
-// Two nodes that campaign at once split the votes; without a view that says
-// whose turn it is they start apart by rank.
+// Two candidates that ask for votes at the same time split them. A node without
+// a view of the current epoch can't compute its turn, so it delays its campaign
+// by its rank among the voters.
 constexpr milliseconds kRankStep{25};
 constexpr milliseconds kMaxRankDelay{200};
-// How long a node without any merit stands back for others.
+// Delay of a node with a leader fitness of 0; fitter nodes wait less.
 constexpr milliseconds kMaxFitnessDelay{150};
-// News for all is told at most this often for each node: an answer to all of a
-// large mesh takes a leader as long as many answers to the few concerned.
+// Minimum interval between broadcasts, for each node of the mesh. Answering all
+// nodes of a large mesh takes the leader as long as many replies to the few
+// nodes that a change concerns.
 constexpr std::chrono::microseconds kBroadcastIntervalPerNode{1500};
 constexpr milliseconds kDelayAfterFailure{120};
 constexpr milliseconds kStepInterval{40};
 constexpr milliseconds kStoreRetryDelay{120};
-// A leader whose writes fail for so long gives up if the store answers others.
-// Longer than the other reader's wait for news and its timeout: in an outage
-// for all it would still be said to have an answer, and nobody could lead then.
+// A leader whose writes have failed for this long resigns if the store answers
+// other nodes.
+//
+// Must be longer than a store reader's long poll plus its timeout. With a
+// shorter time, in an outage of the store for all nodes, the reader would still
+// count as having an answer, the leader would resign to it, and no node could
+// claim the mesh.
 constexpr milliseconds kStoreLossTimeout{2000};
-// A node that no source has brought a configuration by then reads the store, or
-// one without a leader for so long: the next leader reads it as well. Not all
-// at the same moment: together they would wait for its reads.
+// A node reads the store itself once its configuration has been outdated for
+// kConfigBehindTimeout, or once it has had no leader for kLeaderlessTimeout; a
+// new leader reads the store as well. Each node adds a random delay of up to
+// kMaxStoreReadJitter, so that the nodes don't wait for each other's reads.
 constexpr milliseconds kConfigBehindTimeout{1000};
 constexpr milliseconds kLeaderlessTimeout{2000};
 constexpr milliseconds kMaxStoreReadJitter{500};
 constexpr milliseconds kAnnounceInterval{400};
 constexpr milliseconds kMaxConnectionIdle{3000};
 constexpr milliseconds kNoMajorityTimeout{1500};
-// How long a leader that has resigned goes on before it follows another.
+// How long a resigned leader without a majority goes on before it follows
+// another.
 constexpr milliseconds kResignationGrace{100};
 constexpr milliseconds kResignationNoticePeriod{1500};
 
@@ -72,9 +80,10 @@
 struct MeshAgent::Waiter {
   explicit Waiter(boost::asio::io_context& loop) : timer(loop) {}
   boost::asio::steady_timer timer;
-  // The one that waits for an answer; nothing for this node's own pauses.
+  // The heartbeat that waits for a reply; nullptr for pauses of this node's own
+  // loop.
   const Heartbeat* heartbeat = nullptr;
-  // Named to it once there is one.
+  // Set when a configuration source has been assigned to the heartbeat's node.
   std::string config_source;
 };
 
@@ -125,8 +134,9 @@
 }
 
 void MeshAgent::ResignBeforeLeaving() {
-  // While the store is away nobody can take over, and all owners would stop
-  // with their leases: this node leads on for as long as it may still run.
+  // While the store is unavailable no other node can claim the mesh, and all
+  // targets would stop when their leases end. So this node goes on leading for
+  // as long as it may run.
   if (!m_leader || m_leader->has_resigned() || !m_config.is_store_answering())
     return;
   const std::string successor = m_leader->FindSuccessor();
@@ -139,7 +149,7 @@
     return;
   const std::string fitter = m_leader->FindFitterLeader();
   if (!fitter.empty())
-    Resign(fitter, "a fitter host");
+    Resign(fitter, "a fitter host is available");
 }
 
 void MeshAgent::Resign(const std::string& successor, const std::string& why) {
@@ -229,7 +239,7 @@
       std::move(request), std::max<Clock::Duration>(left, milliseconds(1)));
   m_peers.GiveBack(address, std::move(connection));
   if (response.head.status != kOk)
-    throw MalformedMessageError(peer + " answered " +
+    throw MalformedMessageError(peer + " answered with status " +
                                 std::to_string(response.head.status));
   co_return std::move(response.body);
 }
@@ -272,7 +282,7 @@
           kReplyTimeoutMargin);
       HandleReply(DecodeReply(body), leader, sent);
     } catch (const std::exception& error) {
-      // The regular heartbeat says it again.
+      // The next regular heartbeat repeats the information.
       spdlog::debug("event=urgent-heartbeat-failed leader={} reason=\"{}\"",
                     leader, error.what());
     }
@@ -295,7 +305,8 @@
     if (HandleReply(reply, leader, sent))
       co_return;
   } catch (const ConnectRefusedError& error) {
-    // Its process is gone: it leads nobody, and counts on no vote.
+    // The leader's process is gone: it no longer leads, and doesn't count on
+    // this node's vote.
     m_vote_promise.Release(leader);
     m_refused_since.try_emplace(leader, m_clock.Now());
     RecordLeaderGone(leader);
@@ -312,7 +323,7 @@
     }
     co_return;
   }
-  // Whoever was asked does not lead, or does not yet.
+  // The node asked is not the leader, or not yet.
   co_await Pause(kStepInterval);
 }
 
@@ -354,7 +365,7 @@
   }
   const LoopMonitor::ScopedTimer section(m_monitor,
                                          LoopMonitor::Activity::kApplyView);
-  // An old leader that does not know of its successor yet.
+  // The sender is an old leader that hasn't learned of its successor yet.
   if (reply.view.epoch < m_view.epoch()) {
     m_leader_tracker.OnDeposed(from);
     return false;
@@ -371,7 +382,8 @@
   UpdateConfigState(reply);
   const bool is_news = !reply.view.is_empty();
   m_view.Apply(reply.view);
-  // First what the node has lost: with the new lease it could hold on to it.
+  // The view must be applied before the lease is renewed: with the new lease
+  // the node could keep keys that the view has taken from it.
   if (is_news)
     m_listener.OnViewChanged();
   m_listener.OnReply(reply);
@@ -388,7 +400,8 @@
     m_config_behind_since = m_clock.Now();
     m_config_behind_version = version;
   }
-  // The leader should hear at once that this node can be a source.
+  // When the fetch ends, an immediate heartbeat tells the leader that this node
+  // can serve as a source.
   if (!reply.config_source.empty())
     m_transfer.FetchFrom(reply.config_source, [this] { TriggerHeartbeat(); });
 }
@@ -400,7 +413,8 @@
     reply.leader_hint = m_leader_tracker.is_following()
                             ? m_leader_tracker.address()
                             : m_vote_promise.holder();
-    // A voter that missed the resignation would keep its promise.
+    // Reported for a while: a voter that missed the resignation would otherwise
+    // keep its promise to this node.
     reply.has_resigned = m_clock.Now() < m_report_resigned_until;
     reply.is_new_process = m_vote_promise.is_abstaining();
     if (reply.leader_hint == heartbeat.address && !reply.has_resigned)
@@ -669,8 +683,9 @@
     else if (!reply.leader_hint.empty())
       count->leader_hint = reply.leader_hint;
   } catch (const ConnectRefusedError&) {
-    // Its process is gone. What it promised before runs out within a promise's
-    // length, and a new process promises nothing for as long.
+    // The voter's process is gone. Any promise of that process ends within one
+    // vote duration, and a new process at its address abstains for as long, so
+    // after that time its vote counts as granted.
     const auto since =
         m_refused_since.try_emplace(voter, m_clock.Now()).first->second;
     if (m_clock.Now() - since > m_timing.vote_duration)
@@ -686,8 +701,9 @@
 }
 
 void MeshAgent::ReleaseVotes(const VoteRound& count) {
-  // All at once, and nobody waits for it: one after the other, over full links,
-  // kept the fittest candidate from asking again until the promises had ended.
+  // Sent concurrently, and not awaited. Released one after the other over
+  // congested links, the fittest candidate couldn't ask again until the
+  // promises had expired.
   for (const std::string& voter : count.granted) {
     if (voter != m_identity.address)
       boost::asio::co_spawn(m_loop, ReleaseVote(voter), boost::asio::detached);
@@ -702,7 +718,7 @@
     co_await CallPeer(voter, kVotePath, MeshMessageCodec::Encode(request),
                       kVoteTimeout);
   } catch (const std::exception& error) {
-    // Its promise runs out by itself.
+    // The promise expires by itself.
     spdlog::debug("event=vote-not-given-back voter={} reason=\"{}\"", voter,
                   error.what());
   }
@@ -781,8 +797,8 @@
     StepDown("resigned");
     co_return;
   }
-  // While the store is away nobody else can claim the mesh: better go on, and
-  // lead again once most nodes are back.
+  // While the store is unavailable no other node can claim the mesh. So this
+  // node goes on, and leads again once most nodes are back.
   if (m_leader_tracker.TimeSinceLeaderReply() > kNoMajorityTimeout &&
       m_config.is_store_answering()) {
     StepDown("no-majority");
@@ -829,9 +845,9 @@
     NotifyStored(*leader);
     co_return true;
   } catch (const StoreConflictError&) {
-    // Looked into below: a handler can't wait for the store.
+    // Handled below, since a catch block can't co_await.
   }
-  // Either an earlier try of this write took effect without an answer, or
+  // Either an earlier attempt of this write took effect without an answer, or
   // another node has claimed the mesh.
   const MeshStore::StoredRecord stored = co_await m_store.ReadRecord();
   if (stored.bytes && *stored.bytes == bytes) {
@@ -878,7 +894,8 @@
     co_return;
   m_is_storing = false;
   AnswerWaitingHeartbeats();
-  // This node itself should learn of it now.
+  // Ends the pause, so that this node applies the stored changes itself at
+  // once.
   if (m_current_pause)
     m_current_pause->timer.cancel();
 }
--- a/modules/transport/mesh/mesh_agent.h
+++ b/modules/transport/mesh/mesh_agent.h
@@ -36,23 +36,24 @@
 class MeshLeader;
 class MeshStore;
 
-// This node's part in the mesh: it finds the leader or becomes it, sends it
-// heartbeats, and keeps the view and the lease that come back. Answers the
-// messages of other nodes.
+// This node's membership in the mesh: finds the leader or becomes it, sends the
+// leader heartbeats, and keeps the view and the lease from its replies. Also
+// handles the messages of other nodes.
 //
-// Who leads is decided by votes of more than half of the nodes that the stored
-// record names, and by a claim in the store that fails if anybody else wrote
-// meanwhile. Votes are promised for a time, so an old leader has lost its
-// authority before a new one has any.
+// A leader is elected by the votes of more than half of the voters in the
+// stored record, and then claims the mesh by a conditional write to the store,
+// which fails if another node wrote in between. Votes are promised for a
+// limited time, so an old leader has lost its authority before a new one gains
+// any.
 //
-// On the event loop. Kin: MeshLeader, VotePromise, which decide; this one sends
-// and waits.
+// Runs on the event loop. Does the network and store calls; MeshLeader and
+// VotePromise make the decisions.
 class MeshAgent final : public AsyncHttpServer::Handler {
  public:
   class Listener {
    public:
     virtual ~Listener() = default;
-    // What a heartbeat says beside what the agent knows itself.
+    // Adds the fields that the agent does not know itself.
     virtual void FillHeartbeat(Heartbeat& heartbeat) = 0;
     virtual void OnReply(const HeartbeatReply& reply) = 0;
     virtual void OnViewChanged() = 0;
@@ -62,7 +63,7 @@
     std::string address;
     std::string data_address;
     std::string zone;
-    // 0 to 1: how fit its host is for the work of a leader.
+    // 0 to 1: how well the host suits the work of a leader.
     double leader_fitness = 1;
   };
 
@@ -82,24 +83,26 @@
   Task<HttpResponse> Handle(HttpRequest request,
                             RequestContext& context) override;
 
-  // The leader should hear from this node now.
+  // Has a heartbeat sent to the leader at once. At the leader, starts its next
+  // step at once.
   void TriggerHeartbeat();
-  // This node was told to stop: its keys go to others, its vote as well.
+  // The node is shutting down: its keys and its vote go to other nodes.
   void SetLeaving();
-  // Services whose keys the leader gives out.
+  // Sets the services whose keys the leader assigns to targets.
   void SetShardedServices(std::set<std::string> services);
 
   const MeshView& view() const { return m_view; }
   const Identity& identity() const { return m_identity; }
-  // Drawn by this process at its start.
+  // Random number that identifies this process.
   std::uint64_t incarnation() const { return m_incarnation; }
   Clock::TimePoint lease_until() const { return m_lease_until; }
-  // Any lease that may be in force lasts at most so long.
+  // Upper bound of any lease that may be in force.
   std::chrono::milliseconds max_lease() const { return m_max_lease; }
   bool is_leader() const { return m_leader != nullptr; }
-  // The node should read the store for itself.
+  // Whether this node should read the configuration from the store itself,
+  // rather than from other nodes only.
   bool should_read_store() const;
-  // Since when no leader has answered; zero: it does.
+  // How long no leader has answered. Zero while a leader answers.
   Clock::Duration TimeWithoutLeader() const;
   std::string leader_address() const { return m_leader_tracker.address(); }
 
@@ -124,26 +127,29 @@
   void BecomeLeader(const MeshRecord& record);
   void StepDown(const char* reason);
   void Resign(const std::string& successor, const std::string& why);
-  // Once another can lead.
+  // Resigns once another node can lead.
   void ResignBeforeLeaving();
   void ResignToFitterLeader();
   Task<> StoreRecord(MeshRecord record, std::shared_ptr<MeshLeader> leader);
-  // True once it is known to be stored, false if somebody else has written.
+  // Makes one attempt to write the record. Returns true when nothing is left to
+  // write: the write took effect, or another leader has claimed the mesh and
+  // this node has stepped down. Returns false if the attempt should be
+  // repeated.
   Task<bool> TryStoreRecord(const std::string& bytes,
                             const std::shared_ptr<MeshLeader>& leader);
   Task<> AnnounceLeadership(std::string node);
 
   Heartbeat MakeHeartbeat(bool promises);
-  // True when `from` leads.
+  // Returns true if `from` is the leader.
   bool HandleReply(const HeartbeatReply& reply,
                    const std::string& from,
                    Clock::TimePoint sent);
   HeartbeatReply MakeReply(const Heartbeat& heartbeat,
                            const std::string& config_source);
-  // What the leader says of the configuration.
+  // Applies the configuration fields of the leader's reply.
   void UpdateConfigState(const HeartbeatReply& reply);
   Task<HttpResponse> HandleHeartbeat(const HttpRequest& request);
-  // Steps whose cost grows with the mesh, each timed by the LoopMonitor.
+  // Steps whose cost grows with the mesh; each is timed by the LoopMonitor.
   Heartbeat ProcessHeartbeat(const std::string& bytes);
   HttpResponse MakeHeartbeatResponse(const Heartbeat& heartbeat,
                                      const std::string& config_source);
@@ -154,17 +160,21 @@
   std::optional<MeshRecord> RecordToStore(MeshLeader& leader);
   void NotifyStored(MeshLeader& leader);
   HttpResponse HandleVote(const HttpRequest& request);
-  // Answers waiting heartbeats: those of nodes that news concern, and all when
-  // there is news for all and the last was some time ago.
+  // Answers the held heartbeats of nodes that a change concerns. If the view
+  // changed and the last broadcast was long enough ago, answers all held
+  // heartbeats.
   void AnswerWaitingHeartbeats();
   std::chrono::milliseconds FitnessDelay();
-  // How long this node stands back for others that may lead.
+  // How long this node waits before it asks for votes, so that fitter nodes go
+  // first.
   std::chrono::milliseconds CampaignDelay(const MeshRecord& record);
-  // `leader` was asked after the record had been read, and its process turned
-  // out to be gone: one that is there now leads only if it claims anew.
+  // Records that the process at `leader` no longer exists. The node was asked
+  // after the stored record had been read, so a process that runs there now
+  // leads only if it claims the mesh again.
   void RecordLeaderGone(const std::string& leader);
   bool IsLeaderGone(const MeshRecord& record) const;
-  // Promises it this node's vote, if it may have it.
+  // Promises this node's vote to `leader`, if `leader` is confirmed and the
+  // vote is free.
   bool TryPromiseVote(const std::string& leader);
   Task<> Pause(std::chrono::milliseconds duration);
   Task<std::string> CallPeer(std::string peer,
@@ -193,28 +203,29 @@
   std::chrono::milliseconds m_max_lease{0};
   MeshView m_view;
   bool m_is_store_reader = false;
-  // Since when this node has had a version that is not the newest, or none, and
-  // which; nothing: it has the newest that it knows of.
+  // Since when this node's configuration, of version m_config_behind_version
+  // (0: none), has been outdated. Empty while it has the newest version that it
+  // knows of.
   std::optional<Clock::TimePoint> m_config_behind_since;
   std::uint64_t m_config_behind_version = 0;
-  // How much longer than others this node waits before it reads the store.
+  // Random extra delay before this node reads the store itself.
   const std::chrono::milliseconds m_store_read_jitter;
   bool m_is_leaving = false;
   bool m_is_named_successor = false;
-  // Of the stored record that was read last.
+  // Epoch of the stored record that was read last.
   std::uint64_t m_record_epoch = 0;
-  // Whose process no longer exists that claimed the mesh for that epoch.
+  // The leader of that epoch, once its process is known to be gone.
   std::optional<GoneLeader> m_gone_leader;
   std::uint64_t m_sequence = 0;
-  // Since when a node's address refuses connections.
+  // By node: since when its address has refused connections.
   std::map<std::string, Clock::TimePoint> m_refused_since;
 
   std::shared_ptr<MeshLeader> m_leader;
-  // While this node leads.
+  // Set while this node leads, as is m_leader.
   std::unique_ptr<ConfigDistributor> m_config_distributor;
   std::uint64_t m_record_end_position = 0;
   bool m_is_storing = false;
-  // Until then replies say that this node gave up leading.
+  // Until this time replies report that this node has resigned.
   Clock::TimePoint m_report_resigned_until;
   std::set<std::string> m_sharded_services;
   Clock::TimePoint m_last_announcement;
@@ -222,9 +233,10 @@
   Clock::TimePoint m_last_broadcast;
 
   struct Waiter;
-  // Heartbeats that the leader answers when there is news.
+  // Long-polled heartbeats: the leader holds its reply until there is a change
+  // to report.
   std::set<std::shared_ptr<Waiter>> m_waiting_heartbeats;
-  // What interrupts the pause between two of this node's own steps.
+  // Cancelled to end the current pause of Run() early.
   std::shared_ptr<Waiter> m_current_pause;
   bool m_is_heartbeat_due = false;
   bool m_is_sending_urgent = false;
--- a/modules/transport/mesh/mesh_store.h
+++ b/modules/transport/mesh/mesh_store.h
@@ -16,67 +16,70 @@
   using std::runtime_error::runtime_error;
 };
 
-// The store said that it did nothing.
+// The store rejected the call, which had no effect.
 class StoreRefusedError : public StoreError {
  public:
   using StoreError::StoreError;
 };
 
-// The log was trimmed: what was to be read from there on is gone.
+// The log was trimmed: the entries from the requested position on are no longer
+// available.
 class StoreHistoryTrimmedError : public StoreRefusedError {
  public:
   using StoreRefusedError::StoreRefusedError;
 };
 
-// Somebody else wrote since the state that the write was made for.
+// Conditional write failed: another node wrote after the given position.
 class StoreConflictError : public StoreRefusedError {
  public:
   using StoreRefusedError::StoreRefusedError;
 };
 
-// No answer: a write may have taken effect, or may still do so.
+// No answer was received. A write may have taken effect, or may still do so.
 class StoreOutcomeUnknownError : public StoreError {
  public:
   using StoreError::StoreError;
 };
 
-// The store's answer can't be read.
 class StoreMalformedAnswerError : public StoreError {
  public:
   using StoreError::StoreError;
 };
 
-// Where a mesh keeps what must outlast all its processes, and where operators
-// put the configuration. Its calls neither retry nor wait longer than told.
+// Interface to the platform's store, which keeps the mesh's record across
+// restarts of all its processes, and in which operators publish the
+// configuration. Calls don't retry, and don't wait longer than their timeout.
 class MeshStore {
  public:
   struct StoredRecord {
-    // Nothing: the mesh is new.
+    // Empty: the mesh is new.
     std::optional<std::string> bytes;
-    // Position after the last write, whoever made it.
+    // Log position after the last write of any node.
     std::uint64_t end_position = 0;
   };
 
   struct ConfigDocument {
-    // Nothing: no operator has published one, or nothing came in time.
+    // Empty: none has been published, or none arrived within the wait.
     std::optional<std::string> bytes;
-    // From where to wait for the next one.
+    // Log position from which to wait for the next document.
     std::uint64_t next_position = 0;
-    // Nothing newer was stored when the store answered.
+    // No newer document was stored when the store answered.
     bool is_newest = true;
   };
 
   virtual ~MeshStore() = default;
 
   virtual Task<StoredRecord> ReadRecord() = 0;
-  // Takes effect only if nobody wrote since `end`; returns the new end. Throws
-  // StoreConflictError if somebody did.
+  // Conditional write: takes effect only if no node has written since `end`.
+  // Returns the new end position. Throws StoreConflictError if another node has
+  // written.
   virtual Task<std::uint64_t> WriteRecord(std::string bytes,
                                           std::uint64_t end) = 0;
 
   virtual Task<ConfigDocument> ReadConfig() = 0;
-  // Waits for a document written at `next` or later, at most for `wait`. Throws
-  // StoreHistoryGoneError when the history since then is gone: read it anew.
+  // Waits for a document written at position `next` or later, for `wait` at
+  // most. Throws StoreHistoryTrimmedError if that position is no longer
+  // available; the caller then has to call ReadConfig() again.
   virtual Task<ConfigDocument> AwaitConfig(std::uint64_t next,
                                            std::chrono::milliseconds wait) = 0;
 };
--- a/modules/transport/mesh/request_log.h
+++ b/modules/transport/mesh/request_log.h
@@ -12,43 +12,44 @@
 struct ForwardMetadata;
 struct ForwardResult;
 
-// One line for each decision about a request, in the same words at every node.
+// Logs one line for each decision about a request, in the same format at every
+// node.
 //
-// Load pattern: a burst of failing requests. Without a bound each would cost
-// lines, and so processor time, just when there is least. Each event has a rate
-// of its own; what exceeds it is counted, and the count is told with the next
-// line. Requests that were served have a lower rate than those that were not:
-// an engineer looks for the latter.
+// Load pattern: a burst of failing requests. Without a limit each of them would
+// cost log lines, and with them processor time, just when the node has least to
+// spare. Each event has its own rate limit; the number of suppressed lines is
+// given with the next line that is logged. Successful requests have a lower
+// limit than failed ones, which matter more in an investigation.
 //
-// On the event loop; the log's own thread writes.
+// Runs on the event loop; the logging thread does the writing.
 class RequestLog {
  public:
   struct Settings {
-    // Lines a second and event.
+    // Maximum lines per second for each event.
     double failures_per_second = 60;
     double successes_per_second = 5;
   };
 
   RequestLog(const Clock& clock, const Settings& settings);
 
-  // At the node where the request began: one try of it at one member.
+  // At the node that received the request: one attempt at one member.
   void OnAttempt(const ForwardMetadata& order,
                  const std::string& member,
                  const ForwardResult& result,
                  std::chrono::milliseconds took,
                  std::uint64_t view_version);
-  // At the node where the request began: how it ended.
+  // At the node that received the request: its final result.
   void OnAnswered(const ForwardMetadata& order,
                   int status,
                   const ForwardResult& result,
                   unsigned tries,
                   std::chrono::milliseconds took,
                   std::uint64_t config_version);
-  // At the node beside the target.
+  // At the target's own node: the result of one attempt.
   void OnTargetResult(const ForwardMetadata& order,
                       const ForwardResult& result,
                       const std::string& from);
-  // No route, or no configuration yet.
+  // No route matches, or the node has no configuration yet.
   void OnUnrouted(const std::string& request_id,
                   const std::string& host,
                   const std::string& path,
@@ -62,7 +63,8 @@
     std::uint64_t suppressed = 0;
   };
 
-  // Whether the event may be logged now; sets how many were left out before.
+  // Returns whether the event may be logged now, and if so sets the number of
+  // lines suppressed before it.
   bool TakeToken(const char* event, bool is_failure, std::uint64_t& left_out);
 
   const Clock& m_clock;
--- a/modules/transport/mesh/request_router.cc
+++ b/modules/transport/mesh/request_router.cc
@@ -36,30 +36,32 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 constexpr milliseconds kDefaultDeadline{5000};
-// A key that changes hands has its new owner in a few tens of milliseconds
-// once the work that runs on it has ended. Work that may take long is waited
-// for longer, as long as its answer is then still in time.
+// How long to wait for a new owner of the key. A key that moves has its new
+// owner a few tens of milliseconds after the work running on it has ended. For
+// routes with long work the wait is longer, as long as the answer is then still
+// in time.
 constexpr milliseconds kOwnerChangeTimeout{450};
 constexpr double kOwnerWaitLatencyFraction = 0.6;
 constexpr milliseconds kMemberWaitTimeout{150};
 constexpr milliseconds kFirstRetryDelay{20};
 constexpr milliseconds kRetryAfterNoOwner{300};
 constexpr milliseconds kMinRetryAfter{40};
-// Callers come back within this part of their time, or not at all.
+// Retry-After is at most the remaining time divided by this. A caller that is
+// told to wait for longer doesn't come back.
 constexpr int kRetryAfterDivisor = 3;
-// A try with less left is not worth one.
+// No attempt is made with less time left than this.
 constexpr milliseconds kMinTimeLeft{40};
-// The answer's way from node to node.
+// Time reserved for sending the result from node to node.
 constexpr milliseconds kHopAllowance{15};
 constexpr milliseconds kMaxConnectionIdle{4000};
-// A body as long as this holds up others on a narrow link; it asks for room
-// before it is sent, which costs a way there and back.
+// A body of this size delays other requests on a narrow link. So the sender
+// asks for permission first, which costs a round trip.
 constexpr std::size_t kLongBodyBytes = std::size_t{16} * 1024;
-// Part of first tries that may be repeated. Half of what users allow: the calls
-// that a repeated request makes count as repeated as well.
+// Retries allowed per first attempt. This is half of what users accept, because
+// the calls that a retried request makes count as retries as well.
 constexpr double kRetryShare = 0.1;
-// Tries that were proved not to have run cost no target anything; without a
-// bound a request could go round until its deadline.
+// Limits attempts that are proved not to have run. They cost targets nothing,
+// but without a limit a request could be forwarded until its deadline.
 constexpr unsigned kMaxAttempts = 12;
 constexpr int kServerError = 500;
 
@@ -83,7 +85,7 @@
 
 }  // namespace
 
-// One request on its way through this node.
+// State of one request over all its attempts.
 struct RequestRouter::RoutedRequest {
   ForwardMetadata order;
   bool is_sharded = false;
@@ -91,9 +93,9 @@
   Clock::TimePoint soft_deadline;
   Clock::TimePoint deadline;
   unsigned attempts = 0;
-  // Tries that may have reached a target.
+  // Attempts that may have run at a target.
   unsigned possible_runs = 0;
-  // Members that could not run it.
+  // Members that have been tried already.
   std::set<std::string> excluded;
 };
 
@@ -127,8 +129,9 @@
 std::string RequestRouter::ChooseService(const RouteRule& route) {
   if (route.destinations.size() == 1)
     return route.destinations.front().service;
-  // Each gets its weight; the one that is owed most goes next. Exact after a
-  // few requests, where drawing at random would be off by a tenth for long.
+  // Smooth weighted round robin: the destination with the highest credit is
+  // next. The shares are exact after a few requests, where random selection
+  // would be off by a tenth for long.
   std::map<std::string, double>& credits = m_route_credits[route.name];
   double all = 0;
   const RouteDestination* best = nullptr;
@@ -198,7 +201,7 @@
   ForwardResult result;
   if (attempt.is_sharded && !order.key) {
     result = ForwardResult::NotRun(RequestErrorCode::kMissingKey,
-                                   "the request carries no key");
+                                   "the request has no key");
   } else {
     result = co_await RouteWithRetries(request, route, attempt, context);
   }
@@ -233,16 +236,17 @@
         attempt.excluded.insert(*member);
       }
     } else {
-      result =
-          ForwardResult::NotRun(RequestErrorCode::kNoOwner,
-                                "nobody can run it now", kRetryAfterNoOwner);
+      result = ForwardResult::NotRun(RequestErrorCode::kNoOwner,
+                                     "no member can run the request now",
+                                     kRetryAfterNoOwner);
     }
     if (result.has_answer() || result.outcome == RequestOutcome::kUnknown)
       ++attempt.possible_runs;
     if (context.is_caller_gone())
       co_return result;
     if (!co_await PrepareRetry(result, route, attempt, context)) {
-      // What the last try proves, it proves of itself alone.
+      // Proof that the last attempt did not run says nothing about earlier
+      // attempts.
       if (result.outcome == RequestOutcome::kNotRun && may_have_run)
         result.outcome = RequestOutcome::kUnknown;
       co_return result;
@@ -276,7 +280,7 @@
       std::chrono::floor<milliseconds>(attempt.soft_deadline - now);
   if (order.time_left <= milliseconds(0)) {
     co_return ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
-                                    "its time is over");
+                                    "the deadline has passed");
   }
   if (member == m_dependencies.agent.identity().address) {
     ForwardResult result =
@@ -286,7 +290,8 @@
   const MeshMember* found = m_dependencies.agent.view().FindMember(member);
   if (found == nullptr) {
     co_return ForwardResult::NotRun(RequestErrorCode::kNoOwner,
-                                    "its node is gone", kRetryAfterNoOwner);
+                                    "the member is no longer in the view",
+                                    kRetryAfterNoOwner);
   }
   const MeshMember target = *found;
   co_return co_await Forward(request, target, order, context);
@@ -314,7 +319,7 @@
     m_dependencies.peers.GiveBack(address, std::move(connection));
     co_return ForwardResult::NotRun(
         RequestErrorCode::kDeadlinePassed,
-        "its time was over before it was passed on");
+        "the deadline passed before the request was forwarded");
   }
   order.sender_id = m_dependencies.agent.incarnation();
   order.sent_at = clock.Now().time_since_epoch();
@@ -367,13 +372,14 @@
         result.error == RequestErrorCode::kCancelled)
       co_return false;
     if (!attempt.is_sharded) {
-      // Nobody may be chosen: those who come back, or come new, show in a view.
+      // No member can be chosen. Members that return or join appear in the next
+      // view.
       if (result.error == RequestErrorCode::kNoOwner) {
         co_await AwaitViewChange(std::min(kMemberWaitTimeout, left / 4),
                                  context);
         co_return attempt.attempts == 1 && !context.is_caller_gone();
       }
-      // Another member, at once, as long as there is one.
+      // Tries another member at once, while there is one.
       co_return m_dependencies.chooser.HasAlternative(attempt.order.service,
                                                       attempt.excluded) &&
           (!result.reached_target ||
@@ -394,8 +400,9 @@
     if (result.reached_target &&
         !BudgetOf(attempt.order.service).TryAcquire(RetryAllowance()))
       co_return false;
-    // The owner may be ahead of this node's view, or behind it: another look
-    // after a while, or as soon as the key's owner is another.
+    // The owner's view may be newer or older than this node's. So the next
+    // attempt is made after a short delay, or as soon as the key has another
+    // owner.
     const milliseconds pause =
         kFirstRetryDelay * (1 << std::min(attempt.attempts, 3U));
     const Clock::TimePoint next = std::min(until, now + pause);
@@ -415,9 +422,10 @@
 
 Task<bool> RequestRouter::PrepareRetryAtOwner(const RoutedRequest& attempt,
                                               RequestContext& context) {
-  // No more is sent to a target than it has slots, so it has room, and refuses
-  // a part of all requests. The next may be let in; nobody else may run it.
-  // Worth 0.006, 0.007 and 0.010 on three meshes, five days each.
+  // A target never gets more requests than its concurrency, so this refusal is
+  // not due to overload: the target refuses a share of all requests, may accept
+  // the next attempt, and no other target may run it. Retrying raised the score
+  // by 0.006, 0.007 and 0.010 on three meshes, over five days each.
   if (!BudgetOf(attempt.order.service).TryAcquire(RetryAllowance()))
     co_return false;
   co_await AwaitViewChange(kFirstRetryDelay, context);
--- a/modules/transport/mesh/request_router.h
+++ b/modules/transport/mesh/request_router.h
@@ -33,14 +33,15 @@
 struct SlotAssignment;
 struct RouteRule;
 
-// Callers' requests at the node where they begin: finds the route, the service
-// and the node that is to run each, passes it on, tries again what may be tried
-// again, and answers.
+// Handles callers' requests at the node that receives them: finds the route,
+// the service and the node that should run the request, forwards it, retries
+// where that is safe, and answers the caller.
 //
-// What it answers as not run did not run and will not. A request that is not
-// idempotent goes on to another try only when the one before proved that.
+// A request that is answered as not run has not run and will not run. A request
+// that is not idempotent is retried only if the attempt before is proved not to
+// have run.
 //
-// On the event loop. Kin: TargetGateway at the node beside the target.
+// Runs on the event loop. TargetGateway does the part at the target's node.
 class RequestRouter final : public AsyncHttpServer::Handler {
  public:
   struct Dependencies {
@@ -56,19 +57,20 @@
     RequestLog& log;
   };
 
-  // `origin_service`: of the target beside this node.
+  // `origin_service`: service of the target beside this node.
   RequestRouter(const Dependencies& dependencies, std::string origin_service);
 
   Task<HttpResponse> Handle(HttpRequest request,
                             RequestContext& context) override;
   bool MayOverlap(const HttpRequest& request) const override;
 
-  // Requests that wait for an owner look again.
+  // Wakes the requests that wait for a change of the view.
   void OnViewChanged();
   void SetOriginService(std::string service) {
     m_origin_service = std::move(service);
   }
-  // The part of the mesh's retries that this node may use.
+  // Sets the burst of the retry budgets: this node's part of the mesh's
+  // retries.
   void SetRetryBurst(double burst);
 
  private:
@@ -79,7 +81,8 @@
                                        const RouteRule& route,
                                        RoutedRequest& attempt,
                                        RequestContext& context);
-  // Who is to run it now. None: nobody can.
+  // Returns the mesh address of the member that should run the request now;
+  // empty if there is none.
   std::optional<std::string> FindMember(const RoutedRequest& attempt) const;
   Task<ForwardResult> SendToMember(const HttpRequest& request,
                                    const std::string& member,
@@ -89,17 +92,19 @@
                               const MeshMember& member,
                               ForwardMetadata order,
                               RequestContext& context);
-  // True when another try is due; it may have waited for one.
+  // Returns true if another attempt should be made now. May wait before it
+  // returns.
   Task<bool> PrepareRetry(const ForwardResult& result,
                           const RouteRule& route,
                           RoutedRequest& attempt,
                           RequestContext& context);
-  // The same, where the key's own target has refused it without running it.
+  // The same for a request that the key's owner has refused without running it.
   Task<bool> PrepareRetryAtOwner(const RoutedRequest& attempt,
                                  RequestContext& context);
-  // The run of slots that the request's key is in; nullptr: nobody owns it.
+  // Returns the slot assignment of the request's key; nullptr if no node owns
+  // it.
   const SlotAssignment* FindAssignment(const RoutedRequest& attempt) const;
-  // Fencing token under which the request's key is owned; 0: by nobody.
+  // Returns the fencing token of the key's assignment; 0 if no node owns it.
   std::uint64_t FenceOf(const RoutedRequest& attempt) const;
   Task<> AwaitOwnerChange(const RoutedRequest& attempt,
                           Clock::TimePoint until,
@@ -115,7 +120,7 @@
   std::string m_origin_service;
   double m_retry_burst = 2;
   std::map<std::string, RetryBudget> m_budgets;
-  // By route: what each destination is still owed of its weight.
+  // Weighted round robin: by route, the credit of each destination service.
   std::map<std::string, std::map<std::string, double>> m_route_credits;
   std::set<std::shared_ptr<Waiter>> m_waiters;
 };
--- a/modules/transport/mesh/router_metrics.h
+++ b/modules/transport/mesh/router_metrics.h
@@ -14,10 +14,11 @@
 struct ForwardResult;
 
 // Counters and latency histograms of callers' requests at this node, by route
-// and outcome. On the event loop. Kin: NodeMetrics, of citrongrade-node.
+// and outcome. Runs on the event loop.
 class RouterMetrics {
  public:
-  // Upper bounds of the histogram's buckets; the last one has none.
+  // Upper bounds of the histogram's buckets, in milliseconds; one more bucket
+  // is unbounded.
   static constexpr std::array<int, 12> kBucketBoundsMs = {
       5, 10, 25, 50, 100, 200, 300, 400, 500, 750, 1000, 2000};
 
@@ -27,7 +28,7 @@
   void OnRetried(const std::string& service) { ++m_retries[service]; }
   void OnUnrouted(int status) { ++m_unrouted[status]; }
 
-  // In the text format that collectors of metrics read.
+  // Returns the Prometheus text format.
   std::string ToText() const;
 
  private:
@@ -37,7 +38,7 @@
     double sum_seconds = 0;
   };
 
-  // By route and then outcome or reason.
+  // By route, then by outcome or error code.
   std::map<std::string, std::map<std::string, std::uint64_t>> m_answers;
   std::map<std::string, LatencyHistogram> m_latencies;
   std::map<std::string, std::uint64_t> m_retries;
--- a/modules/transport/mesh/target_controller.cc
+++ b/modules/transport/mesh/target_controller.cc
@@ -19,29 +19,32 @@
 
 namespace {
 
-// A release is answered once the work that ran on the keys has ended.
+// A target answers a release only when the requests that ran on the keys have
+// ended.
 constexpr std::chrono::milliseconds kReleaseTimeout{1500};
-// Idle connections that orders may go out on: nothing is lost with one that
-// the target closes meanwhile, it is sent again.
+// Longest idle time of a connection that is reused for grants and releases. If
+// the target closes the connection meanwhile, nothing is lost: the call is sent
+// again.
 constexpr std::chrono::seconds kMaxCommandIdle{4};
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
-// A target that leaves this many calls in a row without an answer, and does not
-// report either, is taken for silent.
+// A target that leaves this many calls in a row unanswered, and does not report
+// either, is treated as silent.
 constexpr unsigned kMaxUnansweredCalls = 3;
-// Where lives do not say when they began: a target that starts counts its
-// reports anew, and one that is gone reports no more.
+// Detects a restart where targets don't state their start time: a target that
+// starts numbers its reports from the beginning, and a target that is gone
+// sends no more reports.
 constexpr std::uint64_t kMaxStartupSequence = 3;
 constexpr std::chrono::milliseconds kMinReportGap{3000};
-// Lives whose reports may still be on their way.
+// Earlier incarnations of which delayed reports may still arrive.
 constexpr std::size_t kMaxPastTargetIds = 16;
-// An answer to a report waits this long for news. A target gives an answer up
-// after a second, and the rest is for a busy host. A range that moves waits
-// 42 ms on average for a target that reports every 870 ms, where without this
-// it waited 435 ms, unserved.
+// How long a reply to a report waits for a change. A target gives up on a reply
+// after a second, and the rest is a margin for a busy host. A range that moves
+// to a target that reports every 870 ms waits 42 ms on average; without this
+// wait it went unserved for 435 ms.
 constexpr std::chrono::milliseconds kGrantReplyWait{600};
-// One that leaves should have its confirmation soon; its keys are planned to
-// move within this.
+// Shorter for a draining target, which should get its confirmation soon; its
+// keys are planned to move within this time.
 constexpr std::chrono::milliseconds kDrainingGrantReplyWait{250};
 
 }  // namespace
@@ -107,8 +110,8 @@
 }
 
 bool TargetController::IsLaterIncarnation(const TargetReport& report) const {
-  // A report that was held up on its way may tell of a life before this one,
-  // and keys would be granted to a target that no longer exists.
+  // A delayed report may come from an earlier process. If it were accepted,
+  // keys would be granted to a target that no longer exists.
   if (report.incarnation.started_unix_ms != m_incarnation.started_unix_ms)
     return report.incarnation.started_unix_ms > m_incarnation.started_unix_ms;
   if (std::find(m_past_target_ids.begin(), m_past_target_ids.end(),
@@ -197,7 +200,8 @@
     if (m_waiting_report == waiting)
       m_waiting_report.reset();
   }
-  // Overtaken meanwhile: the target has given this answer up.
+  // A newer report has arrived meanwhile, so the target no longer waits for
+  // this reply.
   if (life_number != m_incarnation_number || report.sequence != m_sequence)
     co_return std::nullopt;
   co_return m_polled_holds.MakeGrantReply(reported, m_lease_until);
@@ -205,8 +209,9 @@
 
 void TargetController::OnLeave(const std::string& target_id) {
   if (!m_incarnation.is_known()) {
-    // This process has just started, and its answer binds it all the same: a
-    // report that is on its way must not bring the target work.
+    // This process has just started, and has not had a report yet. Its answer
+    // is binding all the same: a report that is still on its way must not bring
+    // the target requests.
     if (m_left_before_report.size() < kMaxPastTargetIds)
       m_left_before_report.try_emplace(target_id, m_clock.Now());
     return;
@@ -221,7 +226,7 @@
 void TargetController::OnRefused() {
   if (m_state == State::kUnknown || m_state == State::kGone)
     return;
-  // Nobody listens at its address: with its process, all holds are gone.
+  // Nothing listens at its address: with the process, all its holds are gone.
   m_holds.Clear();
   m_assignments.clear();
   ++m_incarnation_number;
@@ -247,7 +252,7 @@
   if (!is_silent || m_state != State::kServing)
     return;
   if (now <= m_holds.HeldUntil()) {
-    // No further hold: what it has runs out.
+    // Grants no further holds; the present ones expire.
     m_lease_until = Clock::TimePoint::min();
     return;
   }
@@ -350,7 +355,7 @@
                                    std::uint64_t life_number) {
   const std::uint64_t id = grant.id;
   if (m_command_pool->DropClosed(m_settings.address))
-    SuspectRestart("it closed a connection");
+    SuspectRestart("the target closed a connection");
   if (m_may_have_restarted) {
     m_push_holds.OnGrantNotSent(id);
     co_return;
--- a/modules/transport/mesh/target_controller.h
+++ b/modules/transport/mesh/target_controller.h
@@ -28,42 +28,47 @@
 class AsyncConnectionPool;
 class WireProtocol;
 
-// The target beside this node: which life of it is there, whether it may get
-// work, and which keys it holds. Sends it grants and releases, or states them
-// in the answers to its reports, by its platform.
+// Tracks the target beside this node: which process of it runs, whether it may
+// get requests, and which keys it holds. Depending on the platform, sends it
+// grants and releases as calls, or includes the granted ranges in the replies
+// to its reports.
 //
-// The target's own reports say who it is and whether it leaves; that its
-// process is gone shows by a refused connection. A target that only falls
-// silent may still work and hold keys: it counts as gone when its holds have
-// run out.
+// The target's reports identify it and say whether it drains. A refused
+// connection shows that its process is gone. A target that only stops answering
+// may still work and hold keys, so it counts as gone only when its holds have
+// expired.
 //
-// On the event loop. Kin: HoldBook and ReportedHolds decide about grants;
-// TargetGateway gives it requests.
+// Runs on the event loop. PushHoldTracker and PollingHoldTracker decide what to
+// grant; TargetGateway sends the target its requests.
 class TargetController {
  public:
   class Listener {
    public:
     virtual ~Listener() = default;
-    // The leader should hear of it now.
+    // The target's state or holds changed; the leader should hear of it at
+    // once.
     virtual void OnTargetChanged() = 0;
     virtual void OnTargetLost() = 0;
   };
 
   struct Settings {
     HttpAddress address;
-    // After it was confirmed that the target leaves, it gets no work from then.
+    // How long a draining target still gets requests, from the confirmation of
+    // its drain.
     std::chrono::milliseconds drain_period{1500};
-    // No sign of life for so long: it may be gone.
+    // A target without a sign of life for this long, and with several
+    // unanswered calls, is treated as silent.
     std::chrono::milliseconds silence_timeout{4000};
-    // It takes grants with the answers to its reports, and no orders.
+    // The target takes grants from the replies to its reports, not as calls.
     bool grants_by_report = false;
-    // Longest lease of a node: what an earlier process granted ends with it.
+    // Longest lease of a node: grants of an earlier process end within it.
     std::chrono::milliseconds max_lease{2000};
   };
 
   enum class ReportResult {
     kAccepted,
-    // From an earlier life, or overtaken by a later one.
+    // The report is from an earlier process of the target, or older than one
+    // already processed.
     kOutdated,
   };
 
@@ -76,35 +81,36 @@
   ~TargetController();
 
   ReportResult OnReport(const TargetReport& report);
-  // What the target is to hold, for the answer to a report that was taken when
-  // it had arrived. Waits for news, so that a range that comes or goes need not
-  // wait for the next report. Nothing: the answer is to state nothing.
+  // Returns the ranges that the target is to hold, for the reply to a report
+  // that was accepted. Waits for a change, so that a range that is added or
+  // removed need not wait for the next report. Empty: the reply carries no
+  // ranges.
   Task<std::optional<PollingHoldTracker::GrantReply>> AwaitStatement(
       const TargetReport& report);
-  // It leaves without having said that it drains.
+  // The target leaves without having reported that it drains.
   void OnLeave(const std::string& target_id);
-  // Its address refuses connections: its process is gone.
+  // The target's address refuses connections: its process is gone.
   void OnRefused();
-  // Whether a call to it was answered.
+  // Records whether the target answered a call.
   void OnCallEnded(bool was_answered);
-  // It ran a request that was addressed to its present life.
+  // The target ran a request that was addressed to its present incarnation.
   void OnIncarnationConfirmed() { m_may_have_restarted = false; }
 
   void OnView(const MeshView& view, const std::string& own_address);
   void SetLease(Clock::TimePoint until);
-  // Any lease of this node, of earlier processes as well, lasts at most so
-  // long. To be told before a view that gives keys.
+  // Upper bound of any lease of this node, including those of its earlier
+  // processes. Must be set before a view that assigns keys is applied.
   void SetLongestLease(Clock::Duration longest) {
     m_holds.SetMaxLease(longest);
   }
 
-  // Sends what is due; every 20 ms or so.
+  // Sends grants and releases that are due. Must be called about every 20 ms.
   void Tick();
 
-  // Closes connections that were idle for too long; every 100 ms or so.
+  // Must be called about every 100 ms.
   void CloseIdleConnections();
 
-  // It may be given work now, as far as its own state goes.
+  // Whether the target's own state allows requests now.
   bool IsServing() const;
   Clock::Duration RemainingHold(std::uint32_t slot) const {
     return m_holds.RemainingHold(slot);
@@ -131,19 +137,19 @@
   enum class State { kUnknown, kServing, kDraining, kGone };
 
   struct CommandResult {
-    // False: it was sent to an earlier life, or nobody listens any more, and
-    // says nothing of this one.
+    // False: the call was sent to an earlier incarnation, or nothing listens at
+    // the address any more, so the result says nothing of the present one.
     bool is_current = false;
     std::optional<HttpResponse> response;
-    // Why there is no response.
+    // Why there is no response; empty if there is one.
     std::string failure;
-    // The connection ended, other than by the order's time.
+    // The connection failed for another reason than the call's timeout.
     bool is_connection_broken = false;
   };
 
-  // One call on a connection that has carried nothing but orders.
+  // Makes one call, on a connection that carries only grants and releases.
   Task<HttpResponse> CallTarget(HttpRequest order, Clock::Duration timeout);
-  // The same, with what its end says of the target taken note of.
+  // The same, and updates the target's state by the result.
   Task<CommandResult> SendCommand(HttpRequest order,
                                   Clock::Duration timeout,
                                   std::uint64_t life_number);
@@ -157,9 +163,10 @@
   bool HasStatement() const;
   void WakeWaitingReport();
   void CheckSilence();
-  // A connection to it broke: it may have been started anew, holding nothing,
-  // and would take keys by tokens that its last life had. Grants wait until it
-  // reports, or shows by its work that it is still the same.
+  // A connection to the target broke, so the target may have restarted. A
+  // restarted target holds nothing, and would accept keys under fencing tokens
+  // that were granted to its earlier process. Grants wait until the target
+  // reports, or until a request shows that it is still the same process.
   void SuspectRestart(const char* reason);
 
   boost::asio::io_context& m_loop;
@@ -167,14 +174,16 @@
   const Settings m_settings;
   const WireProtocol& m_dialect;
   AsyncConnectionPool& m_pool;
-  // Apart from those of requests: a late second answer to a request, taken for
-  // the answer to a release, gave keys away on which work still ran.
+  // Grants and releases use connections of their own. On shared connections, a
+  // late second response to a request was taken for the response to a release,
+  // and keys were given away while requests still ran on them.
   std::unique_ptr<AsyncConnectionPool> m_command_pool;
   Listener& m_listener;
 
   State m_state = State::kUnknown;
   TargetIncarnation m_incarnation;
-  // A call that was sent to an earlier life says nothing of this one.
+  // Calls are tagged with it: the result of a call to an earlier incarnation
+  // says nothing of the present one.
   std::uint64_t m_incarnation_number = 0;
   std::string m_service;
   std::uint32_t m_concurrency = 1;
@@ -183,19 +192,19 @@
   Clock::TimePoint m_drain_confirmed_at;
   Clock::TimePoint m_last_contact;
   Clock::TimePoint m_last_report;
-  // Targets that left before this process had heard of them, and when.
+  // Targets that left before their first report to this process, and when.
   std::map<std::string, Clock::TimePoint> m_left_before_report;
-  // Ids of lives before this one.
+  // Ids of earlier incarnations.
   std::vector<std::string> m_past_target_ids;
   unsigned m_unanswered_calls = 0;
   bool m_may_have_restarted = false;
   Clock::TimePoint m_lease_until;
   PushHoldTracker m_push_holds;
   PollingHoldTracker m_polled_holds;
-  // The one of the two that the target's platform calls for.
+  // The tracker of the two that the platform uses.
   TargetHoldTracker& m_holds;
   bool m_is_sharded = false;
-  // The answer to the last report, while it waits for news.
+  // The last report, while its reply waits for a change.
   std::shared_ptr<WaitingReport> m_waiting_report;
   std::string m_last_holds_problem;
   std::vector<SlotAssignment> m_assignments;
--- a/modules/transport/mesh/target_gateway.cc
+++ b/modules/transport/mesh/target_gateway.cc
@@ -29,21 +29,22 @@
 
 using std::chrono::milliseconds;
 
-// A connection that was idle for longer may be closed by the target at the
-// moment that a request goes out on it, and nobody could tell whether it ran.
+// The target may close a connection that has been idle for longer at the moment
+// that a request is sent on it. Nobody could then tell whether the request ran.
 constexpr milliseconds kMaxIdleNonIdempotent{900};
 constexpr milliseconds kMaxIdleIdempotent{4000};
-// For the answer's way back to the caller's node.
+// Time reserved for sending the result to the node that received the request.
 constexpr milliseconds kReplyAllowance{5};
-// Connections that break within this time broke for the same reason.
+// Connections that break within this time are attributed to the same crash.
 constexpr milliseconds kCrashWindow{1000};
-// A target confirms a grant in a few milliseconds; one that leaves it
-// unanswered is asked again after HoldBook::kCallTimeout.
+// A target confirms a grant within a few milliseconds. A grant without an
+// answer is sent again after PushHoldTracker::kCallTimeout.
 constexpr milliseconds kGrantWaitTimeout{150};
 constexpr milliseconds kGrantPollInterval{8};
 constexpr milliseconds kRetryAfterMove{60};
-// A hold that is renewed in time has at least so much left. With less, work
-// that usually takes longer is not begun: the target would end it as failed.
+// A hold that is renewed in time always has at least this much left. With less
+// left, a request that usually takes longer than the remaining hold is not
+// started: the target would end it as failed.
 constexpr milliseconds kMinRenewedHold{600};
 constexpr milliseconds kRetryAfterTargetLoss{300};
 constexpr milliseconds kRetryAfterRefusal{100};
@@ -58,7 +59,7 @@
 
 }  // namespace
 
-// A request that waits its turn.
+// A request that waits for admission.
 struct TargetGateway::WaitingRequest {
   explicit WaitingRequest(boost::asio::io_context& loop) : wakeup(loop) {}
 
@@ -66,7 +67,7 @@
   std::optional<TargetAdmission::Verdict> verdict;
 };
 
-// A place at the target, given back however the request ends.
+// Frees the request's place at the target when the request ends, on every path.
 class TargetGateway::AdmissionGuard {
  public:
   AdmissionGuard(TargetGateway& gateway, RequestTicket ticket)
@@ -105,7 +106,7 @@
 TargetGateway::~TargetGateway() = default;
 
 milliseconds TargetGateway::RetryAfterMove() const {
-  // Work that runs on the key has to end before.
+  // Requests that run on the key have to end first.
   return std::max(kRetryAfterMove, std::chrono::ceil<milliseconds>(
                                        m_admission.mean_service_time()));
 }
@@ -113,13 +114,13 @@
 std::optional<ForwardResult> TargetGateway::CheckServable(
     const ForwardMetadata& order) const {
   if (m_keeper.service() != order.service) {
-    return ForwardResult::NotRun(RequestErrorCode::kNoOwner,
-                                 "this node's target is of another service",
-                                 kRetryAfterMove);
+    return ForwardResult::NotRun(
+        RequestErrorCode::kNoOwner,
+        "this node's target belongs to another service", kRetryAfterMove);
   }
   if (!m_keeper.IsServing()) {
     return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
-                                 "the target is gone or leaves",
+                                 "the target is gone or draining",
                                  kRetryAfterTargetLoss);
   }
   if (!order.key)
@@ -129,7 +130,7 @@
   if (hold_left == Clock::Duration::zero()) {
     if (m_keeper.IsBeingReleased(slot)) {
       return ForwardResult::NotRun(RequestErrorCode::kLeaseLost,
-                                   "the key moves to another target",
+                                   "the key is moving to another target",
                                    RetryAfterMove());
     }
     return ForwardResult::NotRun(RequestErrorCode::kNoOwner,
@@ -139,9 +140,10 @@
   const Clock::Duration least = std::min<Clock::Duration>(
       kMinRenewedHold, m_admission.ExpectedServiceTime(order.route));
   if (hold_left < least) {
-    return ForwardResult::NotRun(RequestErrorCode::kLeaseLost,
-                                 "the target's hold would end before the work",
-                                 RetryAfterMove());
+    return ForwardResult::NotRun(
+        RequestErrorCode::kLeaseLost,
+        "the target's hold would end before the request completes",
+        RetryAfterMove());
   }
   return std::nullopt;
 }
@@ -170,8 +172,9 @@
   }
   const std::uint64_t mark = ComputeFingerprint(request);
   if (m_poison_detector->IsQuarantined(RequestFingerprint(mark))) {
-    auto refusal = ForwardResult::NotRun(RequestErrorCode::kQuarantined,
-                                         "its runs crashed targets");
+    auto refusal =
+        ForwardResult::NotRun(RequestErrorCode::kQuarantined,
+                              "earlier runs of the request crashed targets");
     CountResult(refusal);
     co_return refusal;
   }
@@ -241,7 +244,7 @@
     co_return admitted;
   }
   co_return ForwardResult::NotRun(
-      RequestErrorCode::kOverloaded, "it can't be done in time",
+      RequestErrorCode::kOverloaded, "the request can't be completed in time",
       std::chrono::ceil<milliseconds>(m_admission.DrainTime()));
 }
 
@@ -268,11 +271,11 @@
     co_return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
                                     error.what(), kRetryAfterTargetLoss);
   }
-  // It may have waited: much can have changed since it was let in.
+  // Connecting may have taken a while, so the state is checked again.
   if (context.LooksGone()) {
     m_pool.GiveBack(address, std::move(connection));
     co_return ForwardResult::NotRun(RequestErrorCode::kCancelled,
-                                    "its caller is gone");
+                                    "the caller closed the connection");
   }
   if (auto obstacle = CheckServable(order)) {
     m_pool.GiveBack(address, std::move(connection));
@@ -284,8 +287,9 @@
       std::chrono::floor<milliseconds>(deadline - started) - kReplyAllowance;
   if (left <= milliseconds(0)) {
     m_pool.GiveBack(address, std::move(connection));
-    co_return ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
-                                    "its time was over before its turn");
+    co_return ForwardResult::NotRun(
+        RequestErrorCode::kDeadlinePassed,
+        "the deadline passed before the request was admitted");
   }
   TargetRequestInfo addressing;
   addressing.request_id = order.request_id;
@@ -329,7 +333,7 @@
     context.ClearStop();
     if (context.is_caller_gone()) {
       co_return ForwardResult::Unknown(RequestErrorCode::kCancelled,
-                                       "its caller is gone");
+                                       "the caller closed the connection");
     }
     OnConnectionBroken(m_running_fingerprints[ticket]);
     co_return ForwardResult::Unknown(RequestErrorCode::kTargetFailed,
@@ -343,13 +347,15 @@
     ForwardResult refused = ForwardResult::NotRun(
         facts.is_misdirected ? RequestErrorCode::kLeaseLost
                              : RequestErrorCode::kTargetRefused,
-        "the target refused it without running it", kRetryAfterRefusal);
+        "the target refused the request without running it",
+        kRetryAfterRefusal);
     refused.reached_target = true;
     return refused;
   }
   if (!facts.is_authentic) {
-    return ForwardResult::Unknown(RequestErrorCode::kTruncatedAnswer,
-                                  "the answer lacks the target's mark");
+    return ForwardResult::Unknown(
+        RequestErrorCode::kTruncatedAnswer,
+        "the response is not marked as the target's own");
   }
   RemoveHopByHopHeaders(response.head.headers);
   return ForwardResult::Answered(std::move(response));
@@ -361,7 +367,7 @@
                            TargetAdmission::Verdict verdict) {
     const auto found = m_waiting_requests.find(ticket);
     if (found == m_waiting_requests.end()) {
-      // Its caller went at this very moment.
+      // The caller went away just before the request was admitted.
       if (verdict == TargetAdmission::Verdict::kAdmitted)
         m_admission.OnFinished(ticket, std::nullopt);
       return;
--- a/modules/transport/mesh/target_gateway.h
+++ b/modules/transport/mesh/target_gateway.h
@@ -28,15 +28,16 @@
 class TargetController;
 struct TargetResponseInfo;
 
-// Gives requests to this node's own target: checks that it may serve them, lets
-// them wait their turn, passes them on, and judges the answer.
+// Passes requests to this node's own target: checks that the target may serve
+// them, queues them for admission, forwards them, and classifies the responses.
 //
-// A request is passed on at most once, and only as the very last step after its
-// key's hold was checked again. What it says not to have run never was written
-// to the target, or the target itself said so.
+// A request is sent to the target at most once, as the last step after the hold
+// on its key has been checked again. A request that is reported as not run was
+// either never written to the target, or the target itself said that it did not
+// run.
 //
-// On the event loop. Kin: TargetAdmission decides who waits; TargetKeeper knows
-// the target.
+// Runs on the event loop. TargetAdmission decides which requests wait;
+// TargetController knows the target's state.
 class TargetGateway {
  public:
   struct Counts {
@@ -57,12 +58,13 @@
                           ForwardMetadata order,
                           RequestContext& context);
 
-  // Every 20 ms.
+  // Must be called every 20 ms.
   void Tick();
-  // The target's process is gone: what ran on it is suspect.
+  // The target's process is gone: the requests that it ran are suspected of the
+  // crash.
   void OnTargetLost();
 
-  // Requests that came for slots since the last call.
+  // Requests received for each slot since the last call.
   std::vector<Heartbeat::SlotRequestCount> TakeSlotRequestCounts();
   std::vector<std::uint64_t> TakeCrashSuspects();
   void MergeCrashSuspects(const std::vector<std::uint64_t>& suspects);
@@ -79,20 +81,22 @@
     Clock::TimePoint when;
   };
 
-  // Waits a little for a grant that is on its way to the target.
+  // Waits for a short time for a grant that has been sent to the target.
   Task<> AwaitGrant(const ForwardMetadata& order);
-  // When a key that moves can be expected to be served again.
+  // Time after which a moving key can be expected to be served again.
   std::chrono::milliseconds RetryAfterMove() const;
-  // Why it can't be passed on now; nothing when it can.
+  // Returns the reason why the request can't be sent to the target now; empty
+  // if it can.
   std::optional<ForwardResult> CheckServable(
       const ForwardMetadata& order) const;
-  // Of the target's hold on the order's key; nothing where it has none.
+  // Time left of the target's hold on the request's key; empty if the request
+  // has no key.
   std::optional<std::chrono::milliseconds> RemainingHold(
       const ForwardMetadata& order) const;
   Task<ForwardResult> AwaitAdmission(const ForwardMetadata& order,
                                      RequestTicket ticket,
                                      RequestContext& context);
-  // Sets `passed` when it is about to write to the target.
+  // Sets `passed` just before the request is written to the target.
   Task<ForwardResult> ForwardToTarget(HttpRequest request,
                                       const ForwardMetadata& order,
                                       Clock::TimePoint deadline,
@@ -101,8 +105,9 @@
                                       RequestContext& context);
   ForwardResult ClassifyResponse(HttpResponse response,
                                  const TargetResponseInfo& facts);
-  // A request's connection broke. If the target's process is gone, the request
-  // may be why, and callers should not wait for others to find out.
+  // Called when the connection of a running request breaks. Probes the target
+  // at once: its process may have crashed because of this request, and other
+  // callers should not have to wait until their own requests fail.
   void OnConnectionBroken(std::uint64_t mark);
   Task<> ProbeTarget();
   void ResumeWaiting();
@@ -116,7 +121,7 @@
   TargetAdmission m_admission;
   std::unique_ptr<PoisonDetector> m_poison_detector;
   std::map<RequestTicket, std::shared_ptr<WaitingRequest>> m_waiting_requests;
-  // Marks of the requests that the target runs now.
+  // Fingerprints of the requests that the target runs now.
   std::map<RequestTicket, std::uint64_t> m_running_fingerprints;
   std::vector<BrokenConnection> m_broken_connections;
   RequestTicket m_next_ticket{1};
--- a/modules/transport/mesh/target_report.h
+++ b/modules/transport/mesh/target_report.h
@@ -11,24 +11,24 @@
 
 namespace citrongrade {
 
-// What a target says of itself to the node beside it, about once a second.
+// State that a target reports to the node beside it, about once a second.
 struct TargetReport {
   TargetIncarnation incarnation;
   std::string service;
-  // "ip:port" of its HTTP.
+  // "ip:port" of its HTTP server.
   std::string address;
-  // Requests that it runs at once.
+  // Number of requests that it runs at the same time.
   std::uint32_t concurrency = 1;
-  // It is about to leave and wants no new work.
+  // The target is about to leave and wants no new requests.
   bool is_draining = false;
-  // How much longer it is slow after its start.
+  // Time left of its warm-up, in which it is slow.
   std::chrono::milliseconds cold_left{0};
-  // Grows with each report of one life.
+  // Increases with each report of one incarnation.
   std::uint64_t sequence = 0;
-  // What it holds, where the platform has targets say so. Nothing: it says
-  // nothing, or nothing that can be read.
+  // The ranges that it holds, on platforms where targets report them. Empty if
+  // it reports none, or if they can't be parsed.
   std::optional<PollingHoldTracker::Report> holds;
-  // Why what it says of its holds can't be read; empty when it can.
+  // Why the reported holds can't be parsed; empty if they can.
   std::string holds_problem;
 
   friend auto operator<=>(const TargetReport&, const TargetReport&) = default;
--- a/modules/transport/mesh/wire_protocol.h
+++ b/modules/transport/mesh/wire_protocol.h
@@ -13,59 +13,59 @@
 
 namespace citrongrade {
 
-// What a caller says of its request in the words of its protocol.
+// What a caller's request states in the headers of its protocol.
 struct CallerRequestInfo {
-  // Of one attempt; each retry by the caller has its own.
+  // Identifies one attempt; each retry by the caller has its own.
   std::string request_id;
-  // How long the caller waits.
+  // How long the caller waits, from the arrival of the request.
   std::optional<std::chrono::milliseconds> deadline;
-  // For a service divided by key.
+  // For services sharded by key.
   std::optional<std::uint32_t> key;
   std::string host;
-  // Without the query.
+  // Without the query string.
   std::string path;
 
   friend auto operator<=>(const CallerRequestInfo&,
                           const CallerRequestInfo&) = default;
 };
 
-// What a target has to be told beside the request itself.
+// What a request to a target has to state beside its content.
 struct TargetRequestInfo {
   std::string request_id;
   std::chrono::milliseconds time_left{0};
-  // Another target at its address is to refuse the request.
+  // A target with another id at the same address must refuse the request.
   std::string expected_target;
-  // The service of the host where the request began.
+  // Service of the target at the node that received the request.
   std::string origin_service;
 
   friend auto operator<=>(const TargetRequestInfo&,
                           const TargetRequestInfo&) = default;
 };
 
-// What a target's answer says.
+// What a target's response states.
 struct TargetResponseInfo {
-  // Empty when it names none.
+  // Empty if the response has none.
   std::string request_id;
-  // It proves that the request did not run and will not.
+  // The response proves that the request did not run and will not run.
   bool did_not_run = false;
-  // The target does not hold the key, or is not the expected one.
+  // The target does not hold the key, or is not the expected target.
   bool is_misdirected = false;
-  // Fit to be given to a caller as the target's own answer.
+  // The response may be passed on to the caller as the target's own.
   bool is_authentic = false;
 
   friend auto operator<=>(const TargetResponseInfo&,
                           const TargetResponseInfo&) = default;
 };
 
-// The words in which callers and targets speak, for the code that serves them.
-// Pure: it only translates. Implemented for each platform.
+// Translates between the platform's HTTP messages and the types of this module.
+// Implementations are stateless; each platform has one.
 class WireProtocol {
  public:
   virtual ~WireProtocol() = default;
 
   virtual CallerRequestInfo ReadCallerRequest(
       const HttpRequest& request) const = 0;
-  // The request as the target gets it.
+  // Returns the request as it is sent to the target.
   virtual HttpRequest MakeTargetRequest(
       HttpRequest request,
       const TargetRequestInfo& addressing) const = 0;
@@ -76,10 +76,10 @@
       const PushHoldTracker::Grant& grant) const = 0;
   virtual HttpRequest MakeReleaseRequest(
       const PushHoldTracker::Release& release) const = 0;
-  // False for the answer to a request: a target may send a second one, late,
-  // where the answer to an order is due.
+  // Returns false for a response to a caller's request: a target may send a
+  // late second response where the response to a grant or release is due.
   virtual bool IsCommandResponse(const HttpResponse& response) const = 0;
-  // What the last holder hands over, in the answer to a release.
+  // Returns the handover data in a target's response to a release.
   virtual std::string ReadHandover(const HttpResponse& response) const = 0;
 };
 
