--- a/modules/transport/mesh/loop_monitor.cc
+++ b/modules/transport/mesh/loop_monitor.cc
@@ -44,10 +44,10 @@
 LoopMonitor::LoopMonitor(const Clock& clock)
     : m_clock(clock), m_last_logged(clock.Now()) {}
 
-void LoopMonitor::OnTimerFired(Clock::Duration late) {
-  m_max_delay = std::max(m_max_delay, late);
+void LoopMonitor::OnTimerFired(Clock::Duration delay) {
+  m_max_delay = std::max(m_max_delay, delay);
   const Clock::TimePoint now = m_clock.Now();
-  if (late < kWarningDelay || now - m_last_logged < kLogInterval)
+  if (delay < kWarningDelay || now - m_last_logged < kLogInterval)
     return;
   const auto recent = [this](Activity activity) {
     return Milliseconds(m_times[IndexOf(activity)].since_last_log);
@@ -55,7 +55,7 @@
   spdlog::warn(
       "event=loop-late late_ms={} since_ms={} lead_ms={} "
       "answer_heartbeat_ms={} take_view_ms={} record_ms={} config_ms={}",
-      Milliseconds(late), Milliseconds(now - m_last_logged),
+      Milliseconds(delay), Milliseconds(now - m_last_logged),
       recent(Activity::kPlan), recent(Activity::kAnswerHeartbeat),
       recent(Activity::kApplyView), recent(Activity::kMeshRecord),
       recent(Activity::kConfig));
--- a/modules/transport/mesh/loop_monitor.h
+++ b/modules/transport/mesh/loop_monitor.h
@@ -52,8 +52,8 @@
 
   explicit LoopMonitor(const Clock& clock);
 
-  // `late`: time between the timer's expiry and its handler.
-  void OnTimerFired(Clock::Duration late);
+  // `delay`: time between the timer's expiry and its handler.
+  void OnTimerFired(Clock::Duration delay);
 
   // The longest delay of a timer so far.
   Clock::Duration max_delay() const { return m_max_delay; }
--- a/modules/transport/mesh/loop_monitor_test.cc
+++ b/modules/transport/mesh/loop_monitor_test.cc
@@ -8,12 +8,13 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("each activity's time is counted, and its longest step") {
+// A loop that lags can't be explained if a second step of an activity replaces
+// the first, or if its time counts for another activity.
+TEST_CASE("sums the time of each activity and keeps its longest step") {
   ManualClock clock;
   LoopMonitor monitor(clock);
   for (const milliseconds step : {milliseconds(30), milliseconds(70)}) {
-    const LoopMonitor::ScopedTimer section(monitor,
-                                           LoopMonitor::Activity::kPlan);
+    const LoopMonitor::ScopedTimer timer(monitor, LoopMonitor::Activity::kPlan);
     clock.Advance(step);
   }
   CHECK(monitor.TotalTime(LoopMonitor::Activity::kPlan) == milliseconds(100));
@@ -22,7 +23,9 @@
         milliseconds(0));
 }
 
-TEST_CASE("the latest timer and the activities stand in the metrics") {
+// A late timer that is followed by a timely one must stay visible: collectors
+// read the metrics long after the delay.
+TEST_CASE("the metrics give the longest timer delay and the activity times") {
   ManualClock clock;
   LoopMonitor monitor(clock);
   monitor.OnTimerFired(milliseconds(250));
--- a/modules/transport/mesh/mesh_agent.cc
+++ b/modules/transport/mesh/mesh_agent.cc
@@ -147,13 +147,14 @@
 void MeshAgent::ResignToFitterLeader() {
   if (m_leader->has_resigned() || !m_config.is_store_answering())
     return;
-  const std::string fitter = m_leader->FindFitterLeader();
-  if (!fitter.empty())
-    Resign(fitter, "a fitter host is available");
+  const std::string fitter_leader = m_leader->FindFitterLeader();
+  if (!fitter_leader.empty())
+    Resign(fitter_leader, "a fitter host is available");
 }
 
-void MeshAgent::Resign(const std::string& successor, const std::string& why) {
-  spdlog::warn("event=resigns successor={} reason=\"{}\"", successor, why);
+void MeshAgent::Resign(const std::string& successor,
+                       const std::string& reason) {
+  spdlog::warn("event=resigns successor={} reason=\"{}\"", successor, reason);
   m_leader->Resign(successor);
   m_report_resigned_until = m_clock.Now() + kResignationNoticePeriod;
   AnswerWaitingHeartbeats();
@@ -177,18 +178,19 @@
 Clock::Duration MeshAgent::TimeWithoutLeader() const {
   if (m_leader)
     return Clock::Duration(0);
-  const Clock::Duration silence = m_leader_tracker.TimeSinceLeaderReply();
-  return silence < m_timing.heartbeat_interval + kReplyTimeoutMargin
+  const Clock::Duration time_since_reply =
+      m_leader_tracker.TimeSinceLeaderReply();
+  return time_since_reply < m_timing.heartbeat_interval + kReplyTimeoutMargin
              ? Clock::Duration(0)
-             : silence;
+             : time_since_reply;
 }
 
 Task<> MeshAgent::Pause(milliseconds duration) {
-  auto waiting = std::make_shared<Waiter>(m_loop);
-  waiting->timer.expires_after(duration);
-  m_current_pause = waiting;
+  auto waiter = std::make_shared<Waiter>(m_loop);
+  waiter->timer.expires_after(duration);
+  m_current_pause = waiter;
   boost::system::error_code ignored;
-  co_await waiting->timer.async_wait(
+  co_await waiter->timer.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
   m_current_pause.reset();
 }
@@ -244,7 +246,7 @@
   co_return std::move(response.body);
 }
 
-Heartbeat MeshAgent::MakeHeartbeat(bool promises) {
+Heartbeat MeshAgent::MakeHeartbeat(bool is_vote_promised) {
   Heartbeat heartbeat;
   heartbeat.address = m_identity.address;
   heartbeat.data_address = m_identity.data_address;
@@ -253,7 +255,7 @@
       m_identity.leader_fitness * Heartbeat::kMaxLeaderFitnessMilli);
   heartbeat.incarnation = m_incarnation;
   heartbeat.sequence = ++m_sequence;
-  heartbeat.is_vote_promised = promises;
+  heartbeat.is_vote_promised = is_vote_promised;
   heartbeat.leader_nonce = m_leader_nonce;
   heartbeat.leader_stamp_ns = m_leader_stamp_ns;
   heartbeat.epoch = m_view.epoch();
@@ -272,8 +274,8 @@
   while (m_is_heartbeat_due && !m_leader && m_leader_tracker.is_following()) {
     m_is_heartbeat_due = false;
     const std::string leader = m_leader_tracker.address();
-    const bool promises = TryPromiseVote(leader);
-    Heartbeat heartbeat = MakeHeartbeat(promises);
+    const bool is_vote_promised = TryPromiseVote(leader);
+    Heartbeat heartbeat = MakeHeartbeat(is_vote_promised);
     heartbeat.is_urgent = true;
     const Clock::TimePoint sent = m_clock.Now();
     try {
@@ -293,8 +295,8 @@
 Task<> MeshAgent::SendHeartbeat() {
   const std::string leader = m_leader_tracker.address();
   const Clock::TimePoint sent = m_clock.Now();
-  const bool promises = TryPromiseVote(leader);
-  const Heartbeat heartbeat = MakeHeartbeat(promises);
+  const bool is_vote_promised = TryPromiseVote(leader);
+  const Heartbeat heartbeat = MakeHeartbeat(is_vote_promised);
   std::string failure;
   try {
     const std::string body = co_await CallPeer(
@@ -363,8 +365,8 @@
       m_leader_tracker.OnNotLeading(from, reply.leader_hint);
     return false;
   }
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kApplyView);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kApplyView);
   // The sender is an old leader that hasn't learned of its successor yet.
   if (reply.view.epoch < m_view.epoch()) {
     m_leader_tracker.OnDeposed(from);
@@ -380,11 +382,11 @@
     m_lease_until =
         std::max(m_lease_until, sent + milliseconds(reply.lease_ms));
   UpdateConfigState(reply);
-  const bool is_news = !reply.view.is_empty();
+  const bool has_view_changes = !reply.view.is_empty();
   m_view.Apply(reply.view);
   // The view must be applied before the lease is renewed: with the new lease
   // the node could keep keys that the view has taken from it.
-  if (is_news)
+  if (has_view_changes)
     m_listener.OnViewChanged();
   m_listener.OnReply(reply);
   return true;
@@ -451,23 +453,23 @@
   if (m_leader) {
     config_source = m_config_distributor->AssignSource(heartbeat.address);
     if (config_source.empty() && !m_leader->NeedsImmediateReply(heartbeat)) {
-      auto waiting = std::make_shared<Waiter>(m_loop);
-      waiting->heartbeat = &heartbeat;
-      waiting->timer.expires_after(m_timing.heartbeat_interval);
-      m_waiting_heartbeats.insert(waiting);
+      auto waiter = std::make_shared<Waiter>(m_loop);
+      waiter->heartbeat = &heartbeat;
+      waiter->timer.expires_after(m_timing.heartbeat_interval);
+      m_waiting_heartbeats.insert(waiter);
       boost::system::error_code ignored;
-      co_await waiting->timer.async_wait(
+      co_await waiter->timer.async_wait(
           boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
-      m_waiting_heartbeats.erase(waiting);
-      config_source = waiting->config_source;
+      m_waiting_heartbeats.erase(waiter);
+      config_source = waiter->config_source;
     }
   }
   co_return MakeHeartbeatResponse(heartbeat, config_source);
 }
 
 Heartbeat MeshAgent::ProcessHeartbeat(const std::string& bytes) {
-  const LoopMonitor::ScopedTimer section(
-      m_monitor, LoopMonitor::Activity::kAnswerHeartbeat);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kAnswerHeartbeat);
   Heartbeat heartbeat = MeshMessageCodec::DecodeHeartbeat(bytes);
   if (m_leader && heartbeat.epoch > m_leader->view().epoch())
     StepDown("deposed");
@@ -485,45 +487,42 @@
 HttpResponse MeshAgent::MakeHeartbeatResponse(
     const Heartbeat& heartbeat,
     const std::string& config_source) {
-  const LoopMonitor::ScopedTimer section(
-      m_monitor, LoopMonitor::Activity::kAnswerHeartbeat);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kAnswerHeartbeat);
   return HttpResponse::WithStatus(
       kOk, MeshMessageCodec::Encode(MakeReply(heartbeat, config_source)));
 }
 
 HeartbeatReply MeshAgent::DecodeReply(const std::string& bytes) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kApplyView);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kApplyView);
   return MeshMessageCodec::DecodeHeartbeatReply(bytes);
 }
 
 MeshRecord MeshAgent::DecodeRecord(const std::string& bytes) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kMeshRecord);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kMeshRecord);
   return MeshMessageCodec::DecodeRecord(bytes);
 }
 
 std::string MeshAgent::EncodeRecord(const MeshRecord& record) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kMeshRecord);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kMeshRecord);
   return MeshMessageCodec::Encode(record);
 }
 
 void MeshAgent::TickLeader(MeshLeader& leader) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kPlan);
+  const LoopMonitor::ScopedTimer timer(m_monitor, LoopMonitor::Activity::kPlan);
   leader.Tick();
 }
 
 std::optional<MeshRecord> MeshAgent::RecordToStore(MeshLeader& leader) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kPlan);
+  const LoopMonitor::ScopedTimer timer(m_monitor, LoopMonitor::Activity::kPlan);
   return leader.RecordToStore();
 }
 
 void MeshAgent::NotifyStored(MeshLeader& leader) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kPlan);
+  const LoopMonitor::ScopedTimer timer(m_monitor, LoopMonitor::Activity::kPlan);
   leader.OnStored();
 }
 
@@ -593,9 +592,9 @@
 }
 
 milliseconds MeshAgent::FitnessDelay() {
-  const double lack = 1 - m_identity.leader_fitness;
+  const double deficit = 1 - m_identity.leader_fitness;
   return milliseconds(
-             static_cast<std::int64_t>(lack * kMaxFitnessDelay.count())) +
+             static_cast<std::int64_t>(deficit * kMaxFitnessDelay.count())) +
          milliseconds(m_random() % kRankStep.count());
 }
 
@@ -605,30 +604,31 @@
         .DelayFor(m_identity.address, m_random());
   }
   std::size_t rank = 0;
-  const auto order = [&record](const std::string& address) {
+  const auto tie_break = [&record](const std::string& address) {
     return ElectionDelay::TieBreakHash(address, record.epoch);
   };
   for (const std::string& voter : record.voters)
-    rank += order(voter) < order(m_identity.address) ? 1 : 0;
+    rank += tie_break(voter) < tie_break(m_identity.address) ? 1 : 0;
   return std::min(kMaxRankDelay, kRankStep * static_cast<int>(rank)) +
          FitnessDelay();
 }
 
-Task<> MeshAgent::ClaimNewMesh(std::uint64_t end) {
+Task<> MeshAgent::ClaimNewMesh(std::uint64_t end_position) {
   co_await Pause(FitnessDelay());
   MeshRecord record;
   record.voters = {m_identity.address};
-  if (co_await ClaimLeadership(record, end))
+  if (co_await ClaimLeadership(record, end_position))
     co_return;
   co_await Pause(kStepInterval);
 }
 
-Task<bool> MeshAgent::ClaimLeadership(MeshRecord record, std::uint64_t end) {
+Task<bool> MeshAgent::ClaimLeadership(MeshRecord record,
+                                      std::uint64_t end_position) {
   ++record.epoch;
   record.leader = m_identity.address;
   const std::string bytes = EncodeRecord(record);
   try {
-    m_record_end_position = co_await m_store.WriteRecord(bytes, end);
+    m_record_end_position = co_await m_store.WriteRecord(bytes, end_position);
   } catch (const StoreRefusedError& error) {
     spdlog::info("event=claim-refused epoch={} reason=\"{}\"", record.epoch,
                  error.what());
@@ -669,19 +669,19 @@
 }
 
 Task<> MeshAgent::RequestVote(std::string voter,
-                              std::shared_ptr<VoteRound> count) {
+                              std::shared_ptr<VoteRound> round) {
   VoteRequest request;
   request.candidate = m_identity.address;
-  request.is_previous_leader_gone = count->is_leader_gone;
+  request.is_previous_leader_gone = round->is_leader_gone;
   try {
     const std::string body = co_await CallPeer(
         voter, kVotePath, MeshMessageCodec::Encode(request), kVoteTimeout);
     m_refused_since.erase(voter);
     const VoteReply reply = MeshMessageCodec::DecodeVoteReply(body);
     if (reply.is_granted)
-      count->granted.insert(voter);
+      round->granted.insert(voter);
     else if (!reply.leader_hint.empty())
-      count->leader_hint = reply.leader_hint;
+      round->leader_hint = reply.leader_hint;
   } catch (const ConnectRefusedError&) {
     // The voter's process is gone. Any promise of that process ends within one
     // vote duration, and a new process at its address abstains for as long, so
@@ -689,22 +689,22 @@
     const auto since =
         m_refused_since.try_emplace(voter, m_clock.Now()).first->second;
     if (m_clock.Now() - since > m_timing.vote_duration)
-      count->granted.insert(voter);
+      round->granted.insert(voter);
   } catch (const std::exception& error) {
     m_refused_since.erase(voter);
     spdlog::debug("event=vote-unanswered voter={} reason=\"{}\"", voter,
                   error.what());
   }
-  --count->pending;
-  if (count->pending == 0 && m_current_pause)
+  --round->pending;
+  if (round->pending == 0 && m_current_pause)
     m_current_pause->timer.cancel();
 }
 
-void MeshAgent::ReleaseVotes(const VoteRound& count) {
+void MeshAgent::ReleaseVotes(const VoteRound& round) {
   // Sent concurrently, and not awaited. Released one after the other over
   // congested links, the fittest candidate couldn't ask again until the
   // promises had expired.
-  for (const std::string& voter : count.granted) {
+  for (const std::string& voter : round.granted) {
     if (voter != m_identity.address)
       boost::asio::co_spawn(m_loop, ReleaseVote(voter), boost::asio::detached);
   }
@@ -725,50 +725,51 @@
 }
 
 Task<> MeshAgent::Campaign(MeshRecord record,
-                           std::uint64_t end,
-                           bool is_named) {
+                           std::uint64_t end_position,
+                           bool is_named_successor) {
   const bool is_leader_gone = IsLeaderGone(record);
   if (m_vote_promise.is_abstaining() && !is_leader_gone) {
     co_await Pause(kDelayAfterFailure);
     co_return;
   }
-  if (!is_named) {
+  if (!is_named_successor) {
     const milliseconds delay = CampaignDelay(record);
     co_await Pause(delay);
   }
   if (m_leader_tracker.is_following() ||
       !m_vote_promise.Promise(m_identity.address, is_leader_gone))
     co_return;
-  auto count = std::make_shared<VoteRound>();
-  count->is_leader_gone = is_leader_gone;
-  count->asked_at = m_clock.Now();
+  auto round = std::make_shared<VoteRound>();
+  round->is_leader_gone = is_leader_gone;
+  round->asked_at = m_clock.Now();
   for (const std::string& voter : record.voters) {
     if (voter == m_identity.address) {
-      count->granted.insert(voter);
+      round->granted.insert(voter);
       continue;
     }
-    ++count->pending;
-    boost::asio::co_spawn(m_loop, RequestVote(voter, count),
+    ++round->pending;
+    boost::asio::co_spawn(m_loop, RequestVote(voter, round),
                           boost::asio::detached);
   }
-  const Clock::TimePoint give_up = m_clock.Now() + kVoteTimeout + kStepInterval;
+  const Clock::TimePoint give_up_at =
+      m_clock.Now() + kVoteTimeout + kStepInterval;
   const std::size_t needed = record.voters.size() / 2 + 1;
-  while (count->pending > 0 && count->granted.size() < needed &&
-         m_clock.Now() < give_up)
+  while (round->pending > 0 && round->granted.size() < needed &&
+         m_clock.Now() < give_up_at)
     co_await Pause(milliseconds(10));
   spdlog::info("event=campaign epoch={} votes={} needed={}", record.epoch + 1,
-               count->granted.size(), needed);
-  if (count->granted.size() >= needed &&
-      co_await ClaimLeadership(record, end)) {
-    for (const std::string& voter : count->granted)
-      m_leader->OnVote(voter, count->asked_at);
+               round->granted.size(), needed);
+  if (round->granted.size() >= needed &&
+      co_await ClaimLeadership(record, end_position)) {
+    for (const std::string& voter : round->granted)
+      m_leader->OnVote(voter, round->asked_at);
     co_return;
   }
   m_vote_promise.Release(m_identity.address);
-  ReleaseVotes(*count);
-  if (!count->leader_hint.empty() && count->leader_hint != m_identity.address &&
-      !m_leader_tracker.HasRecentlyFailed(count->leader_hint)) {
-    m_leader_tracker.Follow(count->leader_hint);
+  ReleaseVotes(*round);
+  if (!round->leader_hint.empty() && round->leader_hint != m_identity.address &&
+      !m_leader_tracker.HasRecentlyFailed(round->leader_hint)) {
+    m_leader_tracker.Follow(round->leader_hint);
   }
   co_await Pause(kDelayAfterFailure +
                  milliseconds(m_random() % kDelayAfterFailure.count()));
@@ -871,7 +872,7 @@
 Task<> MeshAgent::StoreRecord(MeshRecord record,
                               std::shared_ptr<MeshLeader> leader) {
   const std::string bytes = EncodeRecord(record);
-  const Clock::TimePoint began = m_clock.Now();
+  const Clock::TimePoint started = m_clock.Now();
   bool is_done = false;
   while (!is_done && m_leader == leader) {
     std::string failure;
@@ -883,7 +884,7 @@
     if (is_done || m_leader != leader)
       break;
     const std::string successor = leader->FindSuccessor();
-    if (!failure.empty() && m_clock.Now() - began > kStoreLossTimeout &&
+    if (!failure.empty() && m_clock.Now() - started > kStoreLossTimeout &&
         leader->CanSuccessorReachStore() && !leader->has_resigned()) {
       Resign(successor, failure);
     }
@@ -901,28 +902,28 @@
 }
 
 void MeshAgent::AnswerWaitingHeartbeats() {
-  bool is_for_all = true;
+  bool is_broadcast = true;
   if (m_leader && !m_leader->has_resigned()) {
     const std::uint64_t version = m_leader->view().version();
     const Clock::TimePoint now = m_clock.Now();
-    is_for_all = version != m_broadcast_version &&
-                 now - m_last_broadcast >=
-                     kBroadcastIntervalPerNode * m_leader->node_count();
-    if (is_for_all) {
+    is_broadcast = version != m_broadcast_version &&
+                   now - m_last_broadcast >=
+                       kBroadcastIntervalPerNode * m_leader->node_count();
+    if (is_broadcast) {
       m_last_broadcast = now;
       m_broadcast_version = version;
     }
   }
-  for (const std::shared_ptr<Waiter>& waiting : m_waiting_heartbeats) {
-    const bool is_behind = m_leader && waiting->heartbeat->config_version <
+  for (const std::shared_ptr<Waiter>& waiter : m_waiting_heartbeats) {
+    const bool is_behind = m_leader && waiter->heartbeat->config_version <
                                            m_config_distributor->newest();
-    if (is_behind && waiting->config_source.empty()) {
-      waiting->config_source =
-          m_config_distributor->AssignSource(waiting->heartbeat->address);
+    if (is_behind && waiter->config_source.empty()) {
+      waiter->config_source =
+          m_config_distributor->AssignSource(waiter->heartbeat->address);
     }
-    if (is_for_all || !waiting->config_source.empty() ||
-        m_leader->NeedsImmediateReply(*waiting->heartbeat))
-      waiting->timer.cancel();
+    if (is_broadcast || !waiter->config_source.empty() ||
+        m_leader->NeedsImmediateReply(*waiter->heartbeat))
+      waiter->timer.cancel();
   }
 }
 
--- a/modules/transport/mesh/mesh_agent.h
+++ b/modules/transport/mesh/mesh_agent.h
@@ -118,15 +118,17 @@
   Task<> SendHeartbeat();
   Task<> RunLeaderStep();
   Task<> FindLeader();
-  Task<> Campaign(MeshRecord record, std::uint64_t end, bool is_named);
-  Task<> RequestVote(std::string voter, std::shared_ptr<VoteRound> count);
-  void ReleaseVotes(const VoteRound& count);
+  Task<> Campaign(MeshRecord record,
+                  std::uint64_t end_position,
+                  bool is_named_successor);
+  Task<> RequestVote(std::string voter, std::shared_ptr<VoteRound> round);
+  void ReleaseVotes(const VoteRound& round);
   Task<> ReleaseVote(std::string voter);
-  Task<> ClaimNewMesh(std::uint64_t end);
-  Task<bool> ClaimLeadership(MeshRecord record, std::uint64_t end);
+  Task<> ClaimNewMesh(std::uint64_t end_position);
+  Task<bool> ClaimLeadership(MeshRecord record, std::uint64_t end_position);
   void BecomeLeader(const MeshRecord& record);
   void StepDown(const char* reason);
-  void Resign(const std::string& successor, const std::string& why);
+  void Resign(const std::string& successor, const std::string& reason);
   // Resigns once another node can lead.
   void ResignBeforeLeaving();
   void ResignToFitterLeader();
@@ -139,7 +141,7 @@
                             const std::shared_ptr<MeshLeader>& leader);
   Task<> AnnounceLeadership(std::string node);
 
-  Heartbeat MakeHeartbeat(bool promises);
+  Heartbeat MakeHeartbeat(bool is_vote_promised);
   // Returns true if `from` is the leader.
   bool HandleReply(const HeartbeatReply& reply,
                    const std::string& from,
--- a/modules/transport/mesh/mesh_store.h
+++ b/modules/transport/mesh/mesh_store.h
@@ -70,17 +70,17 @@
   virtual ~MeshStore() = default;
 
   virtual Task<StoredRecord> ReadRecord() = 0;
-  // Conditional write: takes effect only if no node has written since `end`.
-  // Returns the new end position. Throws StoreConflictError if another node has
-  // written.
+  // Conditional write: takes effect only if no node has written since
+  // `end_position`. Returns the new end position. Throws StoreConflictError if
+  // another node has written.
   virtual Task<std::uint64_t> WriteRecord(std::string bytes,
-                                          std::uint64_t end) = 0;
+                                          std::uint64_t end_position) = 0;
 
   virtual Task<ConfigDocument> ReadConfig() = 0;
-  // Waits for a document written at position `next` or later, for `wait` at
-  // most. Throws StoreHistoryTrimmedError if that position is no longer
-  // available; the caller then has to call ReadConfig() again.
-  virtual Task<ConfigDocument> AwaitConfig(std::uint64_t next,
+  // Waits for a document written at position `next_position` or later, for
+  // `wait` at most. Throws StoreHistoryTrimmedError if that position is no
+  // longer available; the caller then has to call ReadConfig() again.
+  virtual Task<ConfigDocument> AwaitConfig(std::uint64_t next_position,
                                            std::chrono::milliseconds wait) = 0;
 };
 
--- a/modules/transport/mesh/request_log.h
+++ b/modules/transport/mesh/request_log.h
@@ -33,20 +33,20 @@
   RequestLog(const Clock& clock, const Settings& settings);
 
   // At the node that received the request: one attempt at one member.
-  void OnAttempt(const ForwardMetadata& order,
+  void OnAttempt(const ForwardMetadata& metadata,
                  const std::string& member,
                  const ForwardResult& result,
                  std::chrono::milliseconds took,
                  std::uint64_t view_version);
   // At the node that received the request: its final result.
-  void OnAnswered(const ForwardMetadata& order,
+  void OnAnswered(const ForwardMetadata& metadata,
                   int status,
                   const ForwardResult& result,
-                  unsigned tries,
+                  unsigned attempts,
                   std::chrono::milliseconds took,
                   std::uint64_t config_version);
   // At the target's own node: the result of one attempt.
-  void OnTargetResult(const ForwardMetadata& order,
+  void OnTargetResult(const ForwardMetadata& metadata,
                       const ForwardResult& result,
                       const std::string& from);
   // No route matches, or the node has no configuration yet.
@@ -65,7 +65,7 @@
 
   // Returns whether the event may be logged now, and if so sets the number of
   // lines suppressed before it.
-  bool TakeToken(const char* event, bool is_failure, std::uint64_t& left_out);
+  bool TakeToken(const char* event, bool is_failure, std::uint64_t& suppressed);
 
   const Clock& m_clock;
   const Settings m_settings;
--- a/modules/transport/mesh/request_router.cc
+++ b/modules/transport/mesh/request_router.cc
@@ -87,7 +87,7 @@
 
 // State of one request over all its attempts.
 struct RequestRouter::RoutedRequest {
-  ForwardMetadata order;
+  ForwardMetadata metadata;
   bool is_sharded = false;
   Clock::TimePoint arrived;
   Clock::TimePoint soft_deadline;
@@ -133,12 +133,12 @@
   // next. The shares are exact after a few requests, where random selection
   // would be off by a tenth for long.
   std::map<std::string, double>& credits = m_route_credits[route.name];
-  double all = 0;
+  double total_weight = 0;
   const RouteDestination* best = nullptr;
   for (const RouteDestination& destination : route.destinations) {
     if (destination.weight == 0)
       continue;
-    all += destination.weight;
+    total_weight += destination.weight;
     credits[destination.service] += destination.weight;
     if (best == nullptr ||
         credits[destination.service] > credits[best->service])
@@ -146,94 +146,94 @@
   }
   if (best == nullptr)
     return {};
-  credits[best->service] -= all;
+  credits[best->service] -= total_weight;
   return best->service;
 }
 
 bool RequestRouter::MayOverlap(const HttpRequest& request) const {
-  const CallerRequestInfo facts =
+  const CallerRequestInfo caller =
       m_dependencies.dialect.ReadCallerRequest(request);
   const RouteRule* route =
-      m_dependencies.config.FindRoute(facts.host, facts.path);
+      m_dependencies.config.FindRoute(caller.host, caller.path);
   return route != nullptr && route->is_idempotent;
 }
 
 Task<HttpResponse> RequestRouter::Handle(HttpRequest request,
                                          RequestContext& context) {
   const Clock& clock = m_dependencies.clock;
-  const CallerRequestInfo facts =
+  const CallerRequestInfo caller =
       m_dependencies.dialect.ReadCallerRequest(request);
   const std::shared_ptr<const RoutingConfig> config =
       m_dependencies.config.config();
-  RoutedRequest attempt;
-  attempt.order.request_id = facts.request_id;
-  attempt.arrived = context.arrived();
+  RoutedRequest routed;
+  routed.metadata.request_id = caller.request_id;
+  routed.arrived = context.arrived();
   const auto refuse_unrouted = [&](int status) {
     m_dependencies.metrics.OnUnrouted(status);
-    m_dependencies.log.OnUnrouted(facts.request_id, facts.host, facts.path,
+    m_dependencies.log.OnUnrouted(caller.request_id, caller.host, caller.path,
                                   status, m_dependencies.config.version());
     return MakeUnroutedResponse(status);
   };
   if (!config)
     co_return refuse_unrouted(kUnavailable);
   const RouteRule* found =
-      m_dependencies.config.FindRoute(facts.host, facts.path);
+      m_dependencies.config.FindRoute(caller.host, caller.path);
   if (found == nullptr) {
-    const bool is_sure = !m_dependencies.config.MayBeStale();
-    co_return refuse_unrouted(is_sure ? kNotFound : kUnavailable);
+    const bool is_config_current = !m_dependencies.config.MayBeStale();
+    co_return refuse_unrouted(is_config_current ? kNotFound : kUnavailable);
   }
   const RouteRule& route = *found;
-  ForwardMetadata& order = attempt.order;
-  order.service = ChooseService(route);
-  order.is_idempotent = route.is_idempotent;
-  order.priority = route.priority;
-  order.route = route.name;
-  order.origin_service = m_origin_service;
-  const RoutedService* service = config->FindService(order.service);
-  attempt.is_sharded = service != nullptr && service->is_sharded;
-  if (attempt.is_sharded)
-    order.key = facts.key;
-  attempt.soft_deadline = attempt.arrived + route.target_latency;
-  attempt.deadline =
-      attempt.arrived +
-      std::min(facts.deadline.value_or(kDefaultDeadline), route.timeout);
+  ForwardMetadata& metadata = routed.metadata;
+  metadata.service = ChooseService(route);
+  metadata.is_idempotent = route.is_idempotent;
+  metadata.priority = route.priority;
+  metadata.route = route.name;
+  metadata.origin_service = m_origin_service;
+  const RoutedService* service = config->FindService(metadata.service);
+  routed.is_sharded = service != nullptr && service->is_sharded;
+  if (routed.is_sharded)
+    metadata.key = caller.key;
+  routed.soft_deadline = routed.arrived + route.target_latency;
+  routed.deadline =
+      routed.arrived +
+      std::min(caller.deadline.value_or(kDefaultDeadline), route.timeout);
   RemoveHopByHopHeaders(request.headers);
   ForwardResult result;
-  if (attempt.is_sharded && !order.key) {
+  if (routed.is_sharded && !metadata.key) {
     result = ForwardResult::NotRun(RequestErrorCode::kMissingKey,
                                    "the request has no key");
   } else {
-    result = co_await RouteWithRetries(request, route, attempt, context);
+    result = co_await RouteWithRetries(request, route, routed, context);
   }
   m_dependencies.metrics.OnAnswered(route.name, result,
-                                    clock.Now() - attempt.arrived);
-  co_return MakeResponse(std::move(result), attempt);
+                                    clock.Now() - routed.arrived);
+  co_return MakeResponse(std::move(result), routed);
 }
 
 Task<ForwardResult> RequestRouter::RouteWithRetries(HttpRequest& request,
                                                     const RouteRule& route,
-                                                    RoutedRequest& attempt,
+                                                    RoutedRequest& routed,
                                                     RequestContext& context) {
   const Clock& clock = m_dependencies.clock;
-  BudgetOf(attempt.order.service).OnFirstAttempt();
+  BudgetOf(routed.metadata.service).OnFirstAttempt();
   bool may_have_run = false;
   while (true) {
     ForwardResult result;
-    const std::optional<std::string> member = FindMember(attempt);
-    ++attempt.attempts;
+    const std::optional<std::string> member = FindMember(routed);
+    ++routed.attempts;
     if (member) {
       const Clock::TimePoint started = clock.Now();
-      result = co_await SendToMember(request, *member, attempt, context);
+      result = co_await SendToMember(request, *member, routed, context);
       const auto took =
           std::chrono::duration_cast<milliseconds>(clock.Now() - started);
-      m_dependencies.log.OnAttempt(attempt.order, *member, result, took,
+      m_dependencies.log.OnAttempt(routed.metadata, *member, result, took,
                                    m_dependencies.agent.view().version());
-      if (!attempt.is_sharded) {
+      if (!routed.is_sharded) {
         m_dependencies.chooser.OnFinished(
-            attempt.order.service, *member, attempt.order.route,
+            routed.metadata.service, *member, routed.metadata.route,
             OutcomeForChooser(result), clock.Now() - started,
             route.target_latency);
-        attempt.excluded.insert(*member);
+        routed.excluded.insert(*member);
       }
     } else {
       result = ForwardResult::NotRun(RequestErrorCode::kNoOwner,
@@ -241,10 +241,10 @@
                                      kRetryAfterNoOwner);
     }
     if (result.has_answer() || result.outcome == RequestOutcome::kUnknown)
-      ++attempt.possible_runs;
+      ++routed.possible_runs;
     if (context.is_caller_gone())
       co_return result;
-    if (!co_await PrepareRetry(result, route, attempt, context)) {
+    if (!co_await PrepareRetry(result, route, routed, context)) {
       // Proof that the last attempt did not run says nothing about earlier
       // attempts.
       if (result.outcome == RequestOutcome::kNotRun && may_have_run)
@@ -252,39 +252,39 @@
       co_return result;
     }
     may_have_run |= result.outcome != RequestOutcome::kNotRun;
-    m_dependencies.metrics.OnRetried(attempt.order.service);
+    m_dependencies.metrics.OnRetried(routed.metadata.service);
   }
 }
 
 std::optional<std::string> RequestRouter::FindMember(
-    const RoutedRequest& attempt) const {
+    const RoutedRequest& routed) const {
   const MeshView& view = m_dependencies.agent.view();
-  if (!attempt.is_sharded) {
-    return m_dependencies.chooser.Choose(attempt.order.service,
-                                         attempt.excluded);
+  if (!routed.is_sharded) {
+    return m_dependencies.chooser.Choose(routed.metadata.service,
+                                         routed.excluded);
   }
-  const SlotAssignment* run = FindAssignment(attempt);
-  if (run == nullptr || view.FindMember(run->owner) == nullptr)
+  const SlotAssignment* assignment = FindAssignment(routed);
+  if (assignment == nullptr || view.FindMember(assignment->owner) == nullptr)
     return std::nullopt;
-  return run->owner;
+  return assignment->owner;
 }
 
 Task<ForwardResult> RequestRouter::SendToMember(const HttpRequest& request,
                                                 const std::string& member,
-                                                RoutedRequest& attempt,
+                                                RoutedRequest& routed,
                                                 RequestContext& context) {
   const Clock::TimePoint now = m_dependencies.clock.Now();
-  ForwardMetadata order = attempt.order;
-  order.time_left = std::chrono::floor<milliseconds>(attempt.deadline - now);
-  order.soft_time_left =
-      std::chrono::floor<milliseconds>(attempt.soft_deadline - now);
-  if (order.time_left <= milliseconds(0)) {
+  ForwardMetadata metadata = routed.metadata;
+  metadata.time_left = std::chrono::floor<milliseconds>(routed.deadline - now);
+  metadata.soft_time_left =
+      std::chrono::floor<milliseconds>(routed.soft_deadline - now);
+  if (metadata.time_left <= milliseconds(0)) {
     co_return ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
                                     "the deadline has passed");
   }
   if (member == m_dependencies.agent.identity().address) {
     ForwardResult result =
-        co_await m_dependencies.gateway.Run(request, order, context);
+        co_await m_dependencies.gateway.Run(request, metadata, context);
     co_return result;
   }
   const MeshMember* found = m_dependencies.agent.view().FindMember(member);
@@ -293,13 +293,13 @@
                                     "the member is no longer in the view",
                                     kRetryAfterNoOwner);
   }
-  const MeshMember target = *found;
-  co_return co_await Forward(request, target, order, context);
+  const MeshMember owner = *found;
+  co_return co_await Forward(request, owner, metadata, context);
 }
 
 Task<ForwardResult> RequestRouter::Forward(HttpRequest request,
                                            const MeshMember& member,
-                                           ForwardMetadata order,
+                                           ForwardMetadata metadata,
                                            RequestContext& context) {
   const Clock& clock = m_dependencies.clock;
   const HttpAddress address = HttpAddress::Parse(member.data_address);
@@ -312,28 +312,29 @@
     co_return ForwardResult::NotRun(RequestErrorCode::kOwnerUnreachable,
                                     error.what(), kRetryAfterNoOwner);
   }
-  const auto spent = std::chrono::ceil<milliseconds>(clock.Now() - started);
-  order.time_left -= spent + kHopAllowance;
-  order.soft_time_left -= spent + kHopAllowance;
-  if (context.LooksGone() || order.time_left <= milliseconds(0)) {
+  const auto connect_time =
+      std::chrono::ceil<milliseconds>(clock.Now() - started);
+  metadata.time_left -= connect_time + kHopAllowance;
+  metadata.soft_time_left -= connect_time + kHopAllowance;
+  if (context.LooksGone() || metadata.time_left <= milliseconds(0)) {
     m_dependencies.peers.GiveBack(address, std::move(connection));
     co_return ForwardResult::NotRun(
         RequestErrorCode::kDeadlinePassed,
         "the deadline passed before the request was forwarded");
   }
-  order.sender_id = m_dependencies.agent.incarnation();
-  order.sent_at = clock.Now().time_since_epoch();
-  order.WriteTo(request);
+  metadata.sender_id = m_dependencies.agent.incarnation();
+  metadata.sent_at = clock.Now().time_since_epoch();
+  metadata.WriteTo(request);
   context.SetStop([&connection] { connection->Close(); });
   ForwardResult result;
   try {
-    const milliseconds longest = order.time_left + kHopAllowance;
+    const milliseconds timeout = metadata.time_left + kHopAllowance;
     HttpResponse response;
     if (request.body.size() < kLongBodyBytes)
-      response = co_await connection->Call(std::move(request), longest);
+      response = co_await connection->Call(std::move(request), timeout);
     else
       response =
-          co_await connection->CallAskingFirst(std::move(request), longest);
+          co_await connection->CallAskingFirst(std::move(request), timeout);
     context.ClearStop();
     m_dependencies.peers.GiveBack(address, std::move(connection));
     RemoveHopByHopHeaders(response.head.headers);
@@ -350,17 +351,17 @@
     result = ForwardResult::Unknown(RequestErrorCode::kOwnerUnreachable,
                                     error.what());
   }
-  result.times.connect = spent;
+  result.times.connect = connect_time;
   co_return result;
 }
 
 Task<bool> RequestRouter::PrepareRetry(const ForwardResult& result,
                                        const RouteRule& route,
-                                       RoutedRequest& attempt,
+                                       RoutedRequest& routed,
                                        RequestContext& context) {
   const Clock::TimePoint now = m_dependencies.clock.Now();
-  const auto left = std::chrono::floor<milliseconds>(attempt.deadline - now);
-  if (left < kMinTimeLeft || attempt.attempts >= kMaxAttempts)
+  const auto left = std::chrono::floor<milliseconds>(routed.deadline - now);
+  if (left < kMinTimeLeft || routed.attempts >= kMaxAttempts)
     co_return false;
   const bool has_failed =
       result.has_answer() && result.response.head.status >= kServerError;
@@ -371,88 +372,89 @@
         result.error == RequestErrorCode::kDeadlinePassed ||
         result.error == RequestErrorCode::kCancelled)
       co_return false;
-    if (!attempt.is_sharded) {
+    if (!routed.is_sharded) {
       // No member can be chosen. Members that return or join appear in the next
       // view.
       if (result.error == RequestErrorCode::kNoOwner) {
         co_await AwaitViewChange(std::min(kMemberWaitTimeout, left / 4),
                                  context);
-        co_return attempt.attempts == 1 && !context.is_caller_gone();
+        co_return routed.attempts == 1 && !context.is_caller_gone();
       }
       // Tries another member at once, while there is one.
-      co_return m_dependencies.chooser.HasAlternative(attempt.order.service,
-                                                      attempt.excluded) &&
+      co_return m_dependencies.chooser.HasAlternative(routed.metadata.service,
+                                                      routed.excluded) &&
           (!result.reached_target ||
-           BudgetOf(attempt.order.service).TryAcquire(RetryAllowance()));
+           BudgetOf(routed.metadata.service).TryAcquire(RetryAllowance()));
     }
     if (result.error == RequestErrorCode::kOverloaded)
       co_return false;
     if (result.error == RequestErrorCode::kTargetRefused)
-      co_return co_await PrepareRetryAtOwner(attempt, context);
-    const milliseconds longest = std::min(
+      co_return co_await PrepareRetryAtOwner(routed, context);
+    const milliseconds max_wait = std::min(
         std::max(kOwnerChangeTimeout,
                  std::chrono::floor<milliseconds>(route.target_latency *
                                                   kOwnerWaitLatencyFraction)),
         left / 2);
-    const Clock::TimePoint until = attempt.arrived + longest;
+    const Clock::TimePoint until = routed.arrived + max_wait;
     if (now >= until)
       co_return false;
     if (result.reached_target &&
-        !BudgetOf(attempt.order.service).TryAcquire(RetryAllowance()))
+        !BudgetOf(routed.metadata.service).TryAcquire(RetryAllowance()))
       co_return false;
     // The owner's view may be newer or older than this node's. So the next
     // attempt is made after a short delay, or as soon as the key has another
     // owner.
     const milliseconds pause =
-        kFirstRetryDelay * (1 << std::min(attempt.attempts, 3U));
+        kFirstRetryDelay * (1 << std::min(routed.attempts, 3U));
     const Clock::TimePoint next = std::min(until, now + pause);
-    co_await AwaitOwnerChange(attempt, next, context);
+    co_await AwaitOwnerChange(routed, next, context);
     co_return !context.is_caller_gone();
   }
-  if (!route.is_idempotent || attempt.possible_runs >= route.max_attempts)
+  if (!route.is_idempotent || routed.possible_runs >= route.max_attempts)
     co_return false;
   if (result.error == RequestErrorCode::kTargetTimeout ||
       result.error == RequestErrorCode::kCancelled)
     co_return false;
-  if (!attempt.is_sharded && !m_dependencies.chooser.HasAlternative(
-                                 attempt.order.service, attempt.excluded))
-    attempt.excluded.clear();
-  co_return BudgetOf(attempt.order.service).TryAcquire(RetryAllowance());
+  if (!routed.is_sharded && !m_dependencies.chooser.HasAlternative(
+                                routed.metadata.service, routed.excluded))
+    routed.excluded.clear();
+  co_return BudgetOf(routed.metadata.service).TryAcquire(RetryAllowance());
 }
 
-Task<bool> RequestRouter::PrepareRetryAtOwner(const RoutedRequest& attempt,
+Task<bool> RequestRouter::PrepareRetryAtOwner(const RoutedRequest& routed,
                                               RequestContext& context) {
   // A target never gets more requests than its concurrency, so this refusal is
   // not due to overload: the target refuses a share of all requests, may accept
   // the next attempt, and no other target may run it. Retrying raised the score
   // by 0.006, 0.007 and 0.010 on three meshes, over five days each.
-  if (!BudgetOf(attempt.order.service).TryAcquire(RetryAllowance()))
+  if (!BudgetOf(routed.metadata.service).TryAcquire(RetryAllowance()))
     co_return false;
   co_await AwaitViewChange(kFirstRetryDelay, context);
   co_return !context.is_caller_gone();
 }
 
 const SlotAssignment* RequestRouter::FindAssignment(
-    const RoutedRequest& attempt) const {
+    const RoutedRequest& routed) const {
   const KeyTable* table =
-      m_dependencies.agent.view().FindTable(attempt.order.service);
-  if (table == nullptr || *attempt.order.key >= kKeyCount)
+      m_dependencies.agent.view().FindTable(routed.metadata.service);
+  if (table == nullptr || *routed.metadata.key >= kKeyCount)
     return nullptr;
-  const SlotAssignment& run = table->Find(SlotOfKey(*attempt.order.key));
-  return run.has_owner() ? &run : nullptr;
+  const SlotAssignment& assignment =
+      table->Find(SlotOfKey(*routed.metadata.key));
+  return assignment.has_owner() ? &assignment : nullptr;
 }
 
-std::uint64_t RequestRouter::FenceOf(const RoutedRequest& attempt) const {
-  const SlotAssignment* run = FindAssignment(attempt);
-  return run == nullptr ? 0 : run->fence;
+std::uint64_t RequestRouter::FenceOf(const RoutedRequest& routed) const {
+  const SlotAssignment* assignment = FindAssignment(routed);
+  return assignment == nullptr ? 0 : assignment->fence;
 }
 
-Task<> RequestRouter::AwaitOwnerChange(const RoutedRequest& attempt,
+Task<> RequestRouter::AwaitOwnerChange(const RoutedRequest& routed,
                                        Clock::TimePoint until,
                                        RequestContext& context) {
-  const std::uint64_t fence = FenceOf(attempt);
+  const std::uint64_t fence = FenceOf(routed);
   while (!context.is_caller_gone() &&
-         (FenceOf(attempt) == fence || FenceOf(attempt) == 0)) {
+         (FenceOf(routed) == fence || FenceOf(routed) == 0)) {
     const Clock::TimePoint now = m_dependencies.clock.Now();
     if (now >= until)
       co_return;
@@ -461,39 +463,39 @@
   }
 }
 
-Task<> RequestRouter::AwaitViewChange(milliseconds longest,
+Task<> RequestRouter::AwaitViewChange(milliseconds max_wait,
                                       RequestContext& context) {
-  auto waiting = std::make_shared<Waiter>(m_dependencies.loop);
-  waiting->timer.expires_after(longest);
-  m_waiters.insert(waiting);
-  context.SetStop([waiting] { waiting->timer.cancel(); });
+  auto waiter = std::make_shared<Waiter>(m_dependencies.loop);
+  waiter->timer.expires_after(max_wait);
+  m_waiters.insert(waiter);
+  context.SetStop([waiter] { waiter->timer.cancel(); });
   boost::system::error_code ignored;
-  co_await waiting->timer.async_wait(
+  co_await waiter->timer.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
   context.ClearStop();
-  m_waiters.erase(waiting);
+  m_waiters.erase(waiter);
 }
 
 void RequestRouter::OnViewChanged() {
-  for (const std::shared_ptr<Waiter>& waiting : m_waiters)
-    waiting->timer.cancel();
+  for (const std::shared_ptr<Waiter>& waiter : m_waiters)
+    waiter->timer.cancel();
 }
 
 HttpResponse RequestRouter::MakeResponse(ForwardResult result,
-                                         const RoutedRequest& attempt) {
+                                         const RoutedRequest& routed) {
   const Clock::TimePoint now = m_dependencies.clock.Now();
   const auto took =
-      std::chrono::duration_cast<milliseconds>(now - attempt.arrived);
+      std::chrono::duration_cast<milliseconds>(now - routed.arrived);
   HttpResponse response;
   if (result.has_answer()) {
     response = std::move(result.response);
     result.response = {};
   } else if (result.outcome == RequestOutcome::kNotRun) {
-    const auto left = std::chrono::floor<milliseconds>(attempt.deadline - now);
-    const milliseconds longest =
+    const auto left = std::chrono::floor<milliseconds>(routed.deadline - now);
+    const milliseconds max_retry_after =
         std::max(left / kRetryAfterDivisor, milliseconds(0));
     const milliseconds wanted = std::max(result.retry_after, kMinRetryAfter);
-    result.retry_after = std::min(wanted, longest);
+    result.retry_after = std::min(wanted, max_retry_after);
     response.head.status = kUnavailable;
     response.head.headers.push_back(
         {"Retry-After", FormatSeconds(result.retry_after)});
@@ -502,8 +504,8 @@
                            result.error == RequestErrorCode::kDeadlinePassed;
     response.head.status = timed_out ? kGatewayTimeout : kBadGateway;
   }
-  m_dependencies.log.OnAnswered(attempt.order, response.head.status, result,
-                                attempt.attempts, took,
+  m_dependencies.log.OnAnswered(routed.metadata, response.head.status, result,
+                                routed.attempts, took,
                                 m_dependencies.config.version());
   return response;
 }
--- a/modules/transport/mesh/request_router.h
+++ b/modules/transport/mesh/request_router.h
@@ -79,41 +79,41 @@
 
   Task<ForwardResult> RouteWithRetries(HttpRequest& request,
                                        const RouteRule& route,
-                                       RoutedRequest& attempt,
+                                       RoutedRequest& routed,
                                        RequestContext& context);
   // Returns the mesh address of the member that should run the request now;
   // empty if there is none.
-  std::optional<std::string> FindMember(const RoutedRequest& attempt) const;
+  std::optional<std::string> FindMember(const RoutedRequest& routed) const;
   Task<ForwardResult> SendToMember(const HttpRequest& request,
                                    const std::string& member,
-                                   RoutedRequest& attempt,
+                                   RoutedRequest& routed,
                                    RequestContext& context);
   Task<ForwardResult> Forward(HttpRequest request,
                               const MeshMember& member,
-                              ForwardMetadata order,
+                              ForwardMetadata metadata,
                               RequestContext& context);
   // Returns true if another attempt should be made now. May wait before it
   // returns.
   Task<bool> PrepareRetry(const ForwardResult& result,
                           const RouteRule& route,
-                          RoutedRequest& attempt,
+                          RoutedRequest& routed,
                           RequestContext& context);
   // The same for a request that the key's owner has refused without running it.
-  Task<bool> PrepareRetryAtOwner(const RoutedRequest& attempt,
+  Task<bool> PrepareRetryAtOwner(const RoutedRequest& routed,
                                  RequestContext& context);
   // Returns the slot assignment of the request's key; nullptr if no node owns
   // it.
-  const SlotAssignment* FindAssignment(const RoutedRequest& attempt) const;
+  const SlotAssignment* FindAssignment(const RoutedRequest& routed) const;
   // Returns the fencing token of the key's assignment; 0 if no node owns it.
-  std::uint64_t FenceOf(const RoutedRequest& attempt) const;
-  Task<> AwaitOwnerChange(const RoutedRequest& attempt,
+  std::uint64_t FenceOf(const RoutedRequest& routed) const;
+  Task<> AwaitOwnerChange(const RoutedRequest& routed,
                           Clock::TimePoint until,
                           RequestContext& context);
-  Task<> AwaitViewChange(std::chrono::milliseconds longest,
+  Task<> AwaitViewChange(std::chrono::milliseconds max_wait,
                          RequestContext& context);
   std::string ChooseService(const RouteRule& route);
   RetryBudget& BudgetOf(const std::string& service);
-  HttpResponse MakeResponse(ForwardResult result, const RoutedRequest& attempt);
+  HttpResponse MakeResponse(ForwardResult result, const RoutedRequest& routed);
   static HttpResponse MakeUnroutedResponse(int status);
 
   const Dependencies m_dependencies;
--- a/modules/transport/mesh/target_controller.cc
+++ b/modules/transport/mesh/target_controller.cc
@@ -57,13 +57,13 @@
 TargetController::TargetController(boost::asio::io_context& loop,
                                    const Clock& clock,
                                    const Settings& settings,
-                                   const WireProtocol& dialect,
+                                   const WireProtocol& protocol,
                                    AsyncConnectionPool& pool,
                                    Listener& listener)
     : m_loop(loop),
       m_clock(clock),
       m_settings(settings),
-      m_dialect(dialect),
+      m_protocol(protocol),
       m_pool(pool),
       m_command_pool(std::make_unique<AsyncConnectionPool>(
           loop,
@@ -124,8 +124,8 @@
 TargetController::ReportResult TargetController::OnReport(
     const TargetReport& report) {
   const Clock::TimePoint now = m_clock.Now();
-  const bool is_same_life = report.incarnation == m_incarnation;
-  if (!is_same_life) {
+  const bool is_same_incarnation = report.incarnation == m_incarnation;
+  if (!is_same_incarnation) {
     if (m_incarnation.is_known() && !IsLaterIncarnation(report))
       return ReportResult::kOutdated;
     BeginIncarnation(report);
@@ -136,7 +136,7 @@
   m_may_have_restarted = false;
   m_sequence = report.sequence;
   m_concurrency = report.concurrency;
-  m_cold_until = now + report.cold_left;
+  m_warm_up_until = now + report.cold_left;
   m_last_contact = now;
   m_last_report = now;
   m_unanswered_calls = 0;
@@ -144,7 +144,7 @@
   if (m_state == State::kDraining)
     return ReportResult::kAccepted;
   const auto left = m_left_before_report.find(report.incarnation.id);
-  if (!is_same_life && left != m_left_before_report.end() &&
+  if (!is_same_incarnation && left != m_left_before_report.end() &&
       report.sequence > kMaxStartupSequence) {
     m_drain_confirmed_at = left->second;
     SetState(State::kDraining, "left-before");
@@ -187,24 +187,25 @@
 TargetController::AwaitStatement(const TargetReport& report) {
   if (!m_settings.grants_by_report || !m_is_sharded || !report.holds)
     co_return std::nullopt;
-  const Clock::TimePoint reported = m_last_report;
-  const std::uint64_t life_number = m_incarnation_number;
+  const Clock::TimePoint reported_at = m_last_report;
+  const std::uint64_t incarnation_number = m_incarnation_number;
   if (!HasStatement()) {
-    auto waiting = std::make_shared<WaitingReport>(m_loop);
-    waiting->timer.expires_after(report.is_draining ? kDrainingGrantReplyWait
-                                                    : kGrantReplyWait);
-    m_waiting_report = waiting;
+    auto waiting_report = std::make_shared<WaitingReport>(m_loop);
+    waiting_report->timer.expires_after(
+        report.is_draining ? kDrainingGrantReplyWait : kGrantReplyWait);
+    m_waiting_report = waiting_report;
     boost::system::error_code ignored;
-    co_await waiting->timer.async_wait(
+    co_await waiting_report->timer.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
-    if (m_waiting_report == waiting)
+    if (m_waiting_report == waiting_report)
       m_waiting_report.reset();
   }
   // A newer report has arrived meanwhile, so the target no longer waits for
   // this reply.
-  if (life_number != m_incarnation_number || report.sequence != m_sequence)
+  if (incarnation_number != m_incarnation_number ||
+      report.sequence != m_sequence)
     co_return std::nullopt;
-  co_return m_polled_holds.MakeGrantReply(reported, m_lease_until);
+  co_return m_polled_holds.MakeGrantReply(reported_at, m_lease_until);
 }
 
 void TargetController::OnLeave(const std::string& target_id) {
@@ -265,19 +266,20 @@
 
 void TargetController::OnView(const MeshView& view,
                               const std::string& own_address) {
-  std::vector<SlotAssignment> owned;
+  std::vector<SlotAssignment> assignments;
   const KeyTable* table = view.FindTable(m_service);
   m_is_sharded = table != nullptr;
   if (table != nullptr &&
       (m_state == State::kServing || m_state == State::kDraining)) {
-    for (const SlotAssignment& run : table->assignments()) {
-      if (run.owner == own_address && run.incarnation == m_incarnation)
-        owned.push_back(run);
+    for (const SlotAssignment& assignment : table->assignments()) {
+      if (assignment.owner == own_address &&
+          assignment.incarnation == m_incarnation)
+        assignments.push_back(assignment);
     }
   }
-  if (owned == m_assignments)
+  if (assignments == m_assignments)
     return;
-  m_assignments = std::move(owned);
+  m_assignments = std::move(assignments);
   m_holds.SetAssignments(m_assignments);
   Tick();
   WakeWaitingReport();
@@ -312,7 +314,7 @@
   m_may_have_restarted = true;
 }
 
-Task<HttpResponse> TargetController::CallTarget(HttpRequest order,
+Task<HttpResponse> TargetController::CallTarget(HttpRequest command,
                                                 Clock::Duration timeout) {
   const Clock::TimePoint started = m_clock.Now();
   auto connection =
@@ -320,39 +322,39 @@
   const Clock::Duration left = timeout - (m_clock.Now() - started);
   AsyncHttpConnection::IsAnswer is_answer =
       [this](const HttpResponse& response) {
-        return m_dialect.IsCommandResponse(response);
+        return m_protocol.IsCommandResponse(response);
       };
   HttpResponse response =
-      co_await connection->Call(std::move(order), left, std::move(is_answer));
+      co_await connection->Call(std::move(command), left, std::move(is_answer));
   m_command_pool->GiveBack(m_settings.address, std::move(connection));
   co_return response;
 }
 
 Task<TargetController::CommandResult> TargetController::SendCommand(
-    HttpRequest order,
+    HttpRequest command,
     Clock::Duration timeout,
-    std::uint64_t life_number) {
-  CommandResult end;
+    std::uint64_t incarnation_number) {
+  CommandResult result;
   try {
-    end.response = co_await CallTarget(std::move(order), timeout);
+    result.response = co_await CallTarget(std::move(command), timeout);
   } catch (const ConnectRefusedError&) {
-    if (life_number == m_incarnation_number)
+    if (incarnation_number == m_incarnation_number)
       OnRefused();
-    co_return end;
+    co_return result;
   } catch (const ResponseTimeoutError& error) {
-    end.failure = error.what();
+    result.failure = error.what();
   } catch (const HttpError& error) {
-    end.failure = error.what();
-    end.is_connection_broken = true;
+    result.failure = error.what();
+    result.is_connection_broken = true;
   }
-  end.is_current = life_number == m_incarnation_number;
-  if (end.is_current)
-    OnCallEnded(end.response.has_value());
-  co_return end;
+  result.is_current = incarnation_number == m_incarnation_number;
+  if (result.is_current)
+    OnCallEnded(result.response.has_value());
+  co_return result;
 }
 
 Task<> TargetController::SendGrant(PushHoldTracker::Grant grant,
-                                   std::uint64_t life_number) {
+                                   std::uint64_t incarnation_number) {
   const std::uint64_t id = grant.id;
   if (m_command_pool->DropClosed(m_settings.address))
     SuspectRestart("the target closed a connection");
@@ -360,20 +362,20 @@
     m_push_holds.OnGrantNotSent(id);
     co_return;
   }
-  HttpRequest order = m_dialect.MakeGrantRequest(grant);
-  const CommandResult end = co_await SendCommand(
-      std::move(order), PushHoldTracker::kCallTimeout, life_number);
-  if (!end.is_current)
+  HttpRequest command = m_protocol.MakeGrantRequest(grant);
+  const CommandResult result = co_await SendCommand(
+      std::move(command), PushHoldTracker::kCallTimeout, incarnation_number);
+  if (!result.is_current)
     co_return;
-  if (!end.response) {
+  if (!result.response) {
     spdlog::debug("event=grant-unanswered first={} last={} reason=\"{}\"",
-                  grant.range.first, grant.range.last, end.failure);
+                  grant.range.first, grant.range.last, result.failure);
     m_push_holds.OnGrantUnanswered(id);
-    if (end.is_connection_broken)
-      SuspectRestart(end.failure.c_str());
+    if (result.is_connection_broken)
+      SuspectRestart(result.failure.c_str());
     co_return;
   }
-  const int status = end.response->head.status;
+  const int status = result.response->head.status;
   if (status == kOk) {
     m_push_holds.OnGranted(id);
   } else if (status == kConflict) {
@@ -389,26 +391,27 @@
 }
 
 Task<> TargetController::SendRelease(PushHoldTracker::Release release,
-                                     std::uint64_t life_number) {
-  HttpRequest order = m_dialect.MakeReleaseRequest(release);
-  const CommandResult end =
-      co_await SendCommand(std::move(order), kReleaseTimeout, life_number);
-  if (!end.is_current)
+                                     std::uint64_t incarnation_number) {
+  HttpRequest command = m_protocol.MakeReleaseRequest(release);
+  const CommandResult result = co_await SendCommand(
+      std::move(command), kReleaseTimeout, incarnation_number);
+  if (!result.is_current)
     co_return;
-  if (!end.response) {
+  if (!result.response) {
     spdlog::log(release.is_retry ? spdlog::level::debug : spdlog::level::info,
                 "event=release-unanswered first={} last={} reason=\"{}\"",
-                release.range.first, release.range.last, end.failure);
+                release.range.first, release.range.last, result.failure);
     m_push_holds.OnReleaseUnanswered(release.id);
     co_return;
   }
-  if (end.response->head.status == kOk) {
-    m_push_holds.OnReleased(release.id, m_dialect.ReadHandover(*end.response));
+  if (result.response->head.status == kOk) {
+    m_push_holds.OnReleased(release.id,
+                            m_protocol.ReadHandover(*result.response));
     m_listener.OnTargetChanged();
   } else {
     spdlog::warn("event=release-failed first={} last={} status={}",
                  release.range.first, release.range.last,
-                 end.response->head.status);
+                 result.response->head.status);
     m_push_holds.OnReleaseUnanswered(release.id);
   }
 }
@@ -429,10 +432,10 @@
   target.incarnation = m_incarnation;
   target.service = m_service;
   target.concurrency = m_concurrency;
-  const auto cold = std::chrono::ceil<std::chrono::milliseconds>(m_cold_until -
-                                                                 m_clock.Now());
-  target.warm_up_left_ms =
-      static_cast<std::uint32_t>(std::max<std::int64_t>(0, cold.count()));
+  const auto warm_up_left = std::chrono::ceil<std::chrono::milliseconds>(
+      m_warm_up_until - m_clock.Now());
+  target.warm_up_left_ms = static_cast<std::uint32_t>(
+      std::max<std::int64_t>(0, warm_up_left.count()));
   switch (m_state) {
     case State::kUnknown:
       target.state = Heartbeat::TargetState::kUnknown;
--- a/modules/transport/mesh/target_controller.h
+++ b/modules/transport/mesh/target_controller.h
@@ -75,7 +75,7 @@
   TargetController(boost::asio::io_context& loop,
                    const Clock& clock,
                    const Settings& settings,
-                   const WireProtocol& dialect,
+                   const WireProtocol& protocol,
                    AsyncConnectionPool& pool,
                    Listener& listener);
   ~TargetController();
@@ -100,8 +100,8 @@
   void SetLease(Clock::TimePoint until);
   // Upper bound of any lease of this node, including those of its earlier
   // processes. Must be set before a view that assigns keys is applied.
-  void SetLongestLease(Clock::Duration longest) {
-    m_holds.SetMaxLease(longest);
+  void SetLongestLease(Clock::Duration max_lease) {
+    m_holds.SetMaxLease(max_lease);
   }
 
   // Sends grants and releases that are due. Must be called about every 20 ms.
@@ -148,14 +148,15 @@
   };
 
   // Makes one call, on a connection that carries only grants and releases.
-  Task<HttpResponse> CallTarget(HttpRequest order, Clock::Duration timeout);
+  Task<HttpResponse> CallTarget(HttpRequest command, Clock::Duration timeout);
   // The same, and updates the target's state by the result.
-  Task<CommandResult> SendCommand(HttpRequest order,
+  Task<CommandResult> SendCommand(HttpRequest command,
                                   Clock::Duration timeout,
-                                  std::uint64_t life_number);
-  Task<> SendGrant(PushHoldTracker::Grant grant, std::uint64_t life_number);
+                                  std::uint64_t incarnation_number);
+  Task<> SendGrant(PushHoldTracker::Grant grant,
+                   std::uint64_t incarnation_number);
   Task<> SendRelease(PushHoldTracker::Release release,
-                     std::uint64_t life_number);
+                     std::uint64_t incarnation_number);
   bool IsLaterIncarnation(const TargetReport& report) const;
   void BeginIncarnation(const TargetReport& report);
   void SetState(State state, const char* reason);
@@ -172,7 +173,7 @@
   boost::asio::io_context& m_loop;
   const Clock& m_clock;
   const Settings m_settings;
-  const WireProtocol& m_dialect;
+  const WireProtocol& m_protocol;
   AsyncConnectionPool& m_pool;
   // Grants and releases use connections of their own. On shared connections, a
   // late second response to a request was taken for the response to a release,
@@ -188,7 +189,7 @@
   std::string m_service;
   std::uint32_t m_concurrency = 1;
   std::uint64_t m_sequence = 0;
-  Clock::TimePoint m_cold_until;
+  Clock::TimePoint m_warm_up_until;
   Clock::TimePoint m_drain_confirmed_at;
   Clock::TimePoint m_last_contact;
   Clock::TimePoint m_last_report;
--- a/modules/transport/mesh/target_gateway.cc
+++ b/modules/transport/mesh/target_gateway.cc
@@ -50,11 +50,12 @@
 constexpr milliseconds kRetryAfterRefusal{100};
 
 std::uint64_t ComputeFingerprint(const HttpRequest& request) {
-  std::uint64_t mark =
+  std::uint64_t fingerprint =
       XXH3_64bits(request.target.data(), request.target.size());
-  mark =
-      XXH3_64bits_withSeed(request.method.data(), request.method.size(), mark);
-  return XXH3_64bits_withSeed(request.body.data(), request.body.size(), mark);
+  fingerprint = XXH3_64bits_withSeed(request.method.data(),
+                                     request.method.size(), fingerprint);
+  return XXH3_64bits_withSeed(request.body.data(), request.body.size(),
+                              fingerprint);
 }
 
 }  // namespace
@@ -90,13 +91,13 @@
 
 TargetGateway::TargetGateway(boost::asio::io_context& loop,
                              const Clock& clock,
-                             const WireProtocol& dialect,
-                             TargetController& keeper,
+                             const WireProtocol& protocol,
+                             TargetController& controller,
                              AsyncConnectionPool& pool)
     : m_loop(loop),
       m_clock(clock),
-      m_dialect(dialect),
-      m_keeper(keeper),
+      m_protocol(protocol),
+      m_controller(controller),
       m_pool(pool),
       m_admission(clock, TargetAdmission::Parameters()),
       m_poison_detector(
@@ -112,23 +113,23 @@
 }
 
 std::optional<ForwardResult> TargetGateway::CheckServable(
-    const ForwardMetadata& order) const {
-  if (m_keeper.service() != order.service) {
+    const ForwardMetadata& metadata) const {
+  if (m_controller.service() != metadata.service) {
     return ForwardResult::NotRun(
         RequestErrorCode::kNoOwner,
         "this node's target belongs to another service", kRetryAfterMove);
   }
-  if (!m_keeper.IsServing()) {
+  if (!m_controller.IsServing()) {
     return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
                                  "the target is gone or draining",
                                  kRetryAfterTargetLoss);
   }
-  if (!order.key)
+  if (!metadata.key)
     return std::nullopt;
-  const std::uint32_t slot = SlotOfKey(*order.key);
-  const Clock::Duration hold_left = m_keeper.RemainingHold(slot);
+  const std::uint32_t slot = SlotOfKey(*metadata.key);
+  const Clock::Duration hold_left = m_controller.RemainingHold(slot);
   if (hold_left == Clock::Duration::zero()) {
-    if (m_keeper.IsBeingReleased(slot)) {
+    if (m_controller.IsBeingReleased(slot)) {
       return ForwardResult::NotRun(RequestErrorCode::kLeaseLost,
                                    "the key is moving to another target",
                                    RetryAfterMove());
@@ -137,9 +138,9 @@
                                  "the target does not hold the key",
                                  RetryAfterMove());
   }
-  const Clock::Duration least = std::min<Clock::Duration>(
-      kMinRenewedHold, m_admission.ExpectedServiceTime(order.route));
-  if (hold_left < least) {
+  const Clock::Duration min_hold = std::min<Clock::Duration>(
+      kMinRenewedHold, m_admission.ExpectedServiceTime(metadata.route));
+  if (hold_left < min_hold) {
     return ForwardResult::NotRun(
         RequestErrorCode::kLeaseLost,
         "the target's hold would end before the request completes",
@@ -149,94 +150,96 @@
 }
 
 std::optional<milliseconds> TargetGateway::RemainingHold(
-    const ForwardMetadata& order) const {
-  if (!order.key)
+    const ForwardMetadata& metadata) const {
+  if (!metadata.key)
     return std::nullopt;
   return std::chrono::floor<milliseconds>(
-      m_keeper.RemainingHold(SlotOfKey(*order.key)));
+      m_controller.RemainingHold(SlotOfKey(*metadata.key)));
 }
 
 Task<ForwardResult> TargetGateway::Run(HttpRequest request,
-                                       ForwardMetadata order,
+                                       ForwardMetadata metadata,
                                        RequestContext& context) {
   ++m_counts.offered;
-  if (order.key)
-    ++m_arrivals[SlotOfKey(*order.key)];
+  if (metadata.key)
+    ++m_slot_request_counts[SlotOfKey(*metadata.key)];
   const Clock::TimePoint now = m_clock.Now();
-  const Clock::TimePoint deadline = now + order.time_left;
-  if (order.key && m_keeper.IsAwaitingGrant(SlotOfKey(*order.key)))
-    co_await AwaitGrant(order);
-  if (auto obstacle = CheckServable(order)) {
-    CountResult(*obstacle);
-    co_return *obstacle;
+  const Clock::TimePoint deadline = now + metadata.time_left;
+  if (metadata.key && m_controller.IsAwaitingGrant(SlotOfKey(*metadata.key)))
+    co_await AwaitGrant(metadata);
+  if (auto refusal = CheckServable(metadata)) {
+    CountResult(*refusal);
+    co_return *refusal;
   }
-  const std::uint64_t mark = ComputeFingerprint(request);
-  if (m_poison_detector->IsQuarantined(RequestFingerprint(mark))) {
+  const std::uint64_t fingerprint = ComputeFingerprint(request);
+  if (m_poison_detector->IsQuarantined(RequestFingerprint(fingerprint))) {
     auto refusal =
         ForwardResult::NotRun(RequestErrorCode::kQuarantined,
                               "earlier runs of the request crashed targets");
     CountResult(refusal);
     co_return refusal;
   }
-  m_admission.SetConcurrency(m_keeper.concurrency());
+  m_admission.SetConcurrency(m_controller.concurrency());
   const RequestTicket ticket = m_next_ticket;
   m_next_ticket = m_next_ticket.Next();
-  ForwardResult turn = co_await AwaitAdmission(order, ticket, context);
-  turn.times.queue = std::chrono::floor<milliseconds>(m_clock.Now() - now);
-  if (!turn.has_answer()) {
-    CountResult(turn);
-    co_return turn;
+  ForwardResult admission = co_await AwaitAdmission(metadata, ticket, context);
+  admission.times.queue = std::chrono::floor<milliseconds>(m_clock.Now() - now);
+  if (!admission.has_answer()) {
+    CountResult(admission);
+    co_return admission;
   }
-  m_running_fingerprints[ticket] = mark;
+  m_running_fingerprints[ticket] = fingerprint;
   const Clock::TimePoint admitted = m_clock.Now();
-  std::optional<Clock::TimePoint> passed;
+  std::optional<Clock::TimePoint> sent_at;
   ForwardResult result = co_await ForwardToTarget(
-      std::move(request), order, deadline, ticket, passed, context);
+      std::move(request), metadata, deadline, ticket, sent_at, context);
   const Clock::TimePoint ended = m_clock.Now();
-  result.times.queue = turn.times.queue;
+  result.times.queue = admission.times.queue;
   result.times.target_connect =
-      std::chrono::floor<milliseconds>(passed.value_or(ended) - admitted);
+      std::chrono::floor<milliseconds>(sent_at.value_or(ended) - admitted);
   result.times.target =
-      std::chrono::floor<milliseconds>(ended - passed.value_or(ended));
+      std::chrono::floor<milliseconds>(ended - sent_at.value_or(ended));
   CountResult(result);
   co_return result;
 }
 
-Task<> TargetGateway::AwaitGrant(const ForwardMetadata& order) {
-  const std::uint32_t slot = SlotOfKey(*order.key);
-  const Clock::TimePoint give_up =
-      m_clock.Now() + std::min(kGrantWaitTimeout, order.time_left / 3);
+Task<> TargetGateway::AwaitGrant(const ForwardMetadata& metadata) {
+  const std::uint32_t slot = SlotOfKey(*metadata.key);
+  const Clock::TimePoint give_up_at =
+      m_clock.Now() + std::min(kGrantWaitTimeout, metadata.time_left / 3);
   boost::asio::steady_timer timer(m_loop);
-  while (m_keeper.IsAwaitingGrant(slot) && m_clock.Now() < give_up) {
+  while (m_controller.IsAwaitingGrant(slot) && m_clock.Now() < give_up_at) {
     timer.expires_after(kGrantPollInterval);
     co_await timer.async_wait(boost::asio::use_awaitable);
   }
 }
 
-Task<ForwardResult> TargetGateway::AwaitAdmission(const ForwardMetadata& order,
-                                                  RequestTicket ticket,
-                                                  RequestContext& context) {
+Task<ForwardResult> TargetGateway::AwaitAdmission(
+    const ForwardMetadata& metadata,
+    RequestTicket ticket,
+    RequestContext& context) {
   const Clock::TimePoint now = m_clock.Now();
   TargetAdmission::Request request;
   request.ticket = ticket;
-  request.route = order.route;
-  request.priority = order.priority;
-  request.soft_deadline = now + order.soft_time_left;
-  request.deadline = now + order.time_left;
+  request.route = metadata.route;
+  request.priority = metadata.priority;
+  request.soft_deadline = now + metadata.soft_time_left;
+  request.deadline = now + metadata.time_left;
   TargetAdmission::Verdict verdict = m_admission.Offer(request);
   if (verdict == TargetAdmission::Verdict::kQueued) {
-    auto pending = std::make_shared<WaitingRequest>(m_loop);
-    pending->wakeup.expires_after(order.time_left);
-    m_waiting_requests.emplace(ticket, pending);
-    context.SetStop([pending] { pending->wakeup.cancel(); });
+    auto waiting_request = std::make_shared<WaitingRequest>(m_loop);
+    waiting_request->wakeup.expires_after(metadata.time_left);
+    m_waiting_requests.emplace(ticket, waiting_request);
+    context.SetStop([waiting_request] { waiting_request->wakeup.cancel(); });
     boost::system::error_code ignored;
-    co_await pending->wakeup.async_wait(
+    co_await waiting_request->wakeup.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
     context.ClearStop();
     m_waiting_requests.erase(ticket);
-    if (!pending->verdict)
+    if (!waiting_request->verdict)
       m_admission.Withdraw(ticket);
-    verdict = pending->verdict.value_or(TargetAdmission::Verdict::kRefused);
+    verdict =
+        waiting_request->verdict.value_or(TargetAdmission::Verdict::kRefused);
   }
   if (verdict == TargetAdmission::Verdict::kAdmitted) {
     ForwardResult admitted;
@@ -250,24 +253,24 @@
 
 Task<ForwardResult> TargetGateway::ForwardToTarget(
     HttpRequest request,
-    const ForwardMetadata& order,
+    const ForwardMetadata& metadata,
     Clock::TimePoint deadline,
     RequestTicket ticket,
-    std::optional<Clock::TimePoint>& passed,
+    std::optional<Clock::TimePoint>& sent_at,
     RequestContext& context) {
-  AdmissionGuard place(*this, ticket);
-  const HttpAddress address = m_keeper.address();
+  AdmissionGuard guard(*this, ticket);
+  const HttpAddress address = m_controller.address();
   std::unique_ptr<AsyncHttpConnection> connection;
   try {
-    connection = co_await m_pool.Take(address, order.is_idempotent
+    connection = co_await m_pool.Take(address, metadata.is_idempotent
                                                    ? kMaxIdleIdempotent
                                                    : kMaxIdleNonIdempotent);
   } catch (const ConnectRefusedError& error) {
-    m_keeper.OnRefused();
+    m_controller.OnRefused();
     co_return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
                                     error.what(), kRetryAfterTargetLoss);
   } catch (const ConnectError& error) {
-    m_keeper.OnCallEnded(false);
+    m_controller.OnCallEnded(false);
     co_return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
                                     error.what(), kRetryAfterTargetLoss);
   }
@@ -277,12 +280,12 @@
     co_return ForwardResult::NotRun(RequestErrorCode::kCancelled,
                                     "the caller closed the connection");
   }
-  if (auto obstacle = CheckServable(order)) {
+  if (auto refusal = CheckServable(metadata)) {
     m_pool.GiveBack(address, std::move(connection));
-    co_return *obstacle;
+    co_return *refusal;
   }
   const Clock::TimePoint started = m_clock.Now();
-  const std::optional<milliseconds> hold_left = RemainingHold(order);
+  const std::optional<milliseconds> hold_left = RemainingHold(metadata);
   const auto left =
       std::chrono::floor<milliseconds>(deadline - started) - kReplyAllowance;
   if (left <= milliseconds(0)) {
@@ -291,42 +294,44 @@
         RequestErrorCode::kDeadlinePassed,
         "the deadline passed before the request was admitted");
   }
-  TargetRequestInfo addressing;
-  addressing.request_id = order.request_id;
-  addressing.time_left = left;
-  addressing.expected_target = m_keeper.incarnation().id;
-  addressing.origin_service = order.origin_service;
+  TargetRequestInfo target_info;
+  target_info.request_id = metadata.request_id;
+  target_info.time_left = left;
+  target_info.expected_target = m_controller.incarnation().id;
+  target_info.origin_service = metadata.origin_service;
   context.SetStop([&connection] { connection->Close(); });
-  passed = started;
+  sent_at = started;
   try {
-    AsyncHttpConnection::IsAnswer is_answer =
-        [this, id = order.request_id](const HttpResponse& answer) {
-          const TargetResponseInfo facts = m_dialect.ReadTargetResponse(answer);
-          return facts.request_id == id ||
-                 (facts.request_id.empty() && facts.did_not_run);
-        };
+    AsyncHttpConnection::IsAnswer is_answer = [this, id = metadata.request_id](
+                                                  const HttpResponse& answer) {
+      const TargetResponseInfo response_info =
+          m_protocol.ReadTargetResponse(answer);
+      return response_info.request_id == id ||
+             (response_info.request_id.empty() && response_info.did_not_run);
+    };
     HttpRequest outgoing =
-        m_dialect.MakeTargetRequest(std::move(request), addressing);
+        m_protocol.MakeTargetRequest(std::move(request), target_info);
     HttpResponse response = co_await connection->Call(std::move(outgoing), left,
                                                       std::move(is_answer));
     context.ClearStop();
-    m_keeper.OnCallEnded(true);
-    const TargetResponseInfo facts = m_dialect.ReadTargetResponse(response);
-    if (!facts.did_not_run) {
-      place.SetWork(m_clock.Now() - started);
+    m_controller.OnCallEnded(true);
+    const TargetResponseInfo response_info =
+        m_protocol.ReadTargetResponse(response);
+    if (!response_info.did_not_run) {
+      guard.SetWork(m_clock.Now() - started);
       m_has_measured_work = true;
-      if (facts.is_authentic)
-        m_keeper.OnIncarnationConfirmed();
+      if (response_info.is_authentic)
+        m_controller.OnIncarnationConfirmed();
       m_poison_detector->OnFinished(
           RequestFingerprint(m_running_fingerprints[ticket]));
     }
     m_pool.GiveBack(address, std::move(connection));
-    ForwardResult result = ClassifyResponse(std::move(response), facts);
+    ForwardResult result = ClassifyResponse(std::move(response), response_info);
     result.hold_left = hold_left;
     co_return result;
   } catch (const ResponseTimeoutError& error) {
     context.ClearStop();
-    m_keeper.OnCallEnded(false);
+    m_controller.OnCallEnded(false);
     co_return ForwardResult::Unknown(RequestErrorCode::kTargetTimeout,
                                      error.what());
   } catch (const HttpError& error) {
@@ -341,18 +346,19 @@
   }
 }
 
-ForwardResult TargetGateway::ClassifyResponse(HttpResponse response,
-                                              const TargetResponseInfo& facts) {
-  if (facts.did_not_run) {
+ForwardResult TargetGateway::ClassifyResponse(
+    HttpResponse response,
+    const TargetResponseInfo& response_info) {
+  if (response_info.did_not_run) {
     ForwardResult refused = ForwardResult::NotRun(
-        facts.is_misdirected ? RequestErrorCode::kLeaseLost
-                             : RequestErrorCode::kTargetRefused,
+        response_info.is_misdirected ? RequestErrorCode::kLeaseLost
+                                     : RequestErrorCode::kTargetRefused,
         "the target refused the request without running it",
         kRetryAfterRefusal);
     refused.reached_target = true;
     return refused;
   }
-  if (!facts.is_authentic) {
+  if (!response_info.is_authentic) {
     return ForwardResult::Unknown(
         RequestErrorCode::kTruncatedAnswer,
         "the response is not marked as the target's own");
@@ -385,23 +391,23 @@
   ResumeWaiting();
 }
 
-void TargetGateway::OnConnectionBroken(std::uint64_t mark) {
+void TargetGateway::OnConnectionBroken(std::uint64_t fingerprint) {
   const Clock::TimePoint now = m_clock.Now();
   std::erase_if(m_broken_connections, [now](const BrokenConnection& broken) {
     return now - broken.when > kCrashWindow;
   });
   if (m_broken_connections.empty())
     boost::asio::co_spawn(m_loop, ProbeTarget(), boost::asio::detached);
-  m_broken_connections.push_back({mark, now});
+  m_broken_connections.push_back({fingerprint, now});
 }
 
 Task<> TargetGateway::ProbeTarget() {
-  const HttpAddress address = m_keeper.address();
+  const HttpAddress address = m_controller.address();
   try {
     auto connection = co_await m_pool.Take(address, Clock::Duration(0));
     m_pool.GiveBack(address, std::move(connection));
   } catch (const ConnectRefusedError&) {
-    m_keeper.OnRefused();
+    m_controller.OnRefused();
   } catch (const ConnectError& error) {
     spdlog::debug("event=target-probe-failed reason=\"{}\"", error.what());
   }
@@ -412,35 +418,35 @@
   for (const BrokenConnection& broken : m_broken_connections)
     suspects.emplace_back(broken.fingerprint);
   m_broken_connections.clear();
-  for (const auto& [ticket, mark] : m_running_fingerprints)
-    suspects.emplace_back(mark);
+  for (const auto& [ticket, fingerprint] : m_running_fingerprints)
+    suspects.emplace_back(fingerprint);
   m_poison_detector->OnCrash(suspects);
 }
 
 std::vector<Heartbeat::SlotRequestCount>
 TargetGateway::TakeSlotRequestCounts() {
-  std::vector<Heartbeat::SlotRequestCount> arrivals;
-  arrivals.reserve(m_arrivals.size());
-  for (const auto& [slot, count] : m_arrivals)
-    arrivals.push_back({slot, count});
-  m_arrivals.clear();
-  return arrivals;
+  std::vector<Heartbeat::SlotRequestCount> counts;
+  counts.reserve(m_slot_request_counts.size());
+  for (const auto& [slot, count] : m_slot_request_counts)
+    counts.push_back({slot, count});
+  m_slot_request_counts.clear();
+  return counts;
 }
 
 std::vector<std::uint64_t> TargetGateway::TakeCrashSuspects() {
-  std::vector<std::uint64_t> marks;
-  for (const RequestFingerprint mark : m_poison_detector->TakeReports())
-    marks.push_back(mark.value());
-  return marks;
+  std::vector<std::uint64_t> fingerprints;
+  for (const RequestFingerprint fingerprint : m_poison_detector->TakeReports())
+    fingerprints.push_back(fingerprint.value());
+  return fingerprints;
 }
 
 void TargetGateway::MergeCrashSuspects(
     const std::vector<std::uint64_t>& suspects) {
-  std::vector<RequestFingerprint> marks;
-  marks.reserve(suspects.size());
+  std::vector<RequestFingerprint> fingerprints;
+  fingerprints.reserve(suspects.size());
   for (const std::uint64_t suspect : suspects)
-    marks.emplace_back(suspect);
-  m_poison_detector->MergePeerReports(marks);
+    fingerprints.emplace_back(suspect);
+  m_poison_detector->MergePeerReports(fingerprints);
 }
 
 std::uint32_t TargetGateway::mean_service_time_us() const {
--- a/modules/transport/mesh/target_gateway.h
+++ b/modules/transport/mesh/target_gateway.h
@@ -49,13 +49,13 @@
 
   TargetGateway(boost::asio::io_context& loop,
                 const Clock& clock,
-                const WireProtocol& dialect,
-                TargetController& keeper,
+                const WireProtocol& protocol,
+                TargetController& controller,
                 AsyncConnectionPool& pool);
   ~TargetGateway();
 
   Task<ForwardResult> Run(HttpRequest request,
-                          ForwardMetadata order,
+                          ForwardMetadata metadata,
                           RequestContext& context);
 
   // Must be called every 20 ms.
@@ -82,41 +82,41 @@
   };
 
   // Waits for a short time for a grant that has been sent to the target.
-  Task<> AwaitGrant(const ForwardMetadata& order);
+  Task<> AwaitGrant(const ForwardMetadata& metadata);
   // Time after which a moving key can be expected to be served again.
   std::chrono::milliseconds RetryAfterMove() const;
   // Returns the reason why the request can't be sent to the target now; empty
   // if it can.
   std::optional<ForwardResult> CheckServable(
-      const ForwardMetadata& order) const;
+      const ForwardMetadata& metadata) const;
   // Time left of the target's hold on the request's key; empty if the request
   // has no key.
   std::optional<std::chrono::milliseconds> RemainingHold(
-      const ForwardMetadata& order) const;
-  Task<ForwardResult> AwaitAdmission(const ForwardMetadata& order,
+      const ForwardMetadata& metadata) const;
+  Task<ForwardResult> AwaitAdmission(const ForwardMetadata& metadata,
                                      RequestTicket ticket,
                                      RequestContext& context);
-  // Sets `passed` just before the request is written to the target.
+  // Sets `sent_at` just before the request is written to the target.
   Task<ForwardResult> ForwardToTarget(HttpRequest request,
-                                      const ForwardMetadata& order,
+                                      const ForwardMetadata& metadata,
                                       Clock::TimePoint deadline,
                                       RequestTicket ticket,
-                                      std::optional<Clock::TimePoint>& passed,
+                                      std::optional<Clock::TimePoint>& sent_at,
                                       RequestContext& context);
   ForwardResult ClassifyResponse(HttpResponse response,
-                                 const TargetResponseInfo& facts);
+                                 const TargetResponseInfo& response_info);
   // Called when the connection of a running request breaks. Probes the target
   // at once: its process may have crashed because of this request, and other
   // callers should not have to wait until their own requests fail.
-  void OnConnectionBroken(std::uint64_t mark);
+  void OnConnectionBroken(std::uint64_t fingerprint);
   Task<> ProbeTarget();
   void ResumeWaiting();
   void CountResult(const ForwardResult& result);
 
   boost::asio::io_context& m_loop;
   const Clock& m_clock;
-  const WireProtocol& m_dialect;
-  TargetController& m_keeper;
+  const WireProtocol& m_protocol;
+  TargetController& m_controller;
   AsyncConnectionPool& m_pool;
   TargetAdmission m_admission;
   std::unique_ptr<PoisonDetector> m_poison_detector;
@@ -125,7 +125,7 @@
   std::map<RequestTicket, std::uint64_t> m_running_fingerprints;
   std::vector<BrokenConnection> m_broken_connections;
   RequestTicket m_next_ticket{1};
-  std::map<std::uint32_t, std::uint32_t> m_arrivals;
+  std::map<std::uint32_t, std::uint32_t> m_slot_request_counts;
   bool m_has_measured_work = false;
   Counts m_counts;
 };
--- a/modules/transport/mesh/wire_protocol.h
+++ b/modules/transport/mesh/wire_protocol.h
@@ -68,7 +68,7 @@
   // Returns the request as it is sent to the target.
   virtual HttpRequest MakeTargetRequest(
       HttpRequest request,
-      const TargetRequestInfo& addressing) const = 0;
+      const TargetRequestInfo& info) const = 0;
   virtual TargetResponseInfo ReadTargetResponse(
       const HttpResponse& response) const = 0;
 
