--- a/modules/transport/mesh/mesh_agent.cc
+++ b/modules/transport/mesh/mesh_agent.cc
@@ -384,8 +384,8 @@
   UpdateConfigState(reply);
   const bool has_view_changes = !reply.view.is_empty();
   m_view.Apply(reply.view);
-  // The view must be applied before the lease is renewed: with the new lease
-  // the node could keep keys that the view has taken from it.
+  // The listener gets the view before the reply with the new lease: with the
+  // lease first, it could keep keys that the view has taken from this node.
   if (has_view_changes)
     m_listener.OnViewChanged();
   m_listener.OnReply(reply);
