--- a/modules/transport/mesh/mesh_agent.cc
+++ b/modules/transport/mesh/mesh_agent.cc
@@ -34,36 +34,44 @@
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
-// Beyond the time for which the leader may hold its answer: a frozen or lost
-// leader is given up after two of these.
+// Timeout beyond the time for which the leader may hold its reply. A node gives
+// up a frozen or lost leader after two such timeouts.
 constexpr milliseconds kReplyTimeoutMargin{350};
 constexpr milliseconds kVoteTimeout{250};
-// Two nodes that campaign at once split the votes; without a view that says
-// whose turn it is they start apart by rank.
+// Two candidates that ask for votes at the same time split them. A node without
+// a view of the current epoch can't compute its turn, so it delays its campaign
+// by its rank among the voters.
 constexpr milliseconds kRankStep{25};
 constexpr milliseconds kMaxRankDelay{200};
-// How long a node without any merit stands back for others.
+// Delay of a node with a leader fitness of 0; fitter nodes wait less.
 constexpr milliseconds kMaxFitnessDelay{150};
-// News for all is told at most this often for each node: an answer to all of a
-// large mesh takes a leader as long as many answers to the few concerned.
+// Minimum interval between broadcasts, for each node of the mesh. Answering all
+// nodes of a large mesh takes the leader as long as many replies to the few
+// nodes that a change concerns.
 constexpr std::chrono::microseconds kBroadcastIntervalPerNode{1500};
 constexpr milliseconds kDelayAfterFailure{120};
 constexpr milliseconds kStepInterval{40};
 constexpr milliseconds kStoreRetryDelay{120};
-// A leader whose writes fail for so long gives up if the store answers others.
-// Longer than the other reader's wait for news and its timeout: in an outage
-// for all it would still be said to have an answer, and nobody could lead then.
+// A leader whose writes have failed for this long resigns if the store answers
+// other nodes.
+//
+// Must be longer than a store reader's long poll plus its timeout. With a
+// shorter time, in an outage of the store for all nodes, the reader would still
+// count as having an answer, the leader would resign to it, and no node could
+// claim the mesh.
 constexpr milliseconds kStoreLossTimeout{2000};
-// A node that no source has brought a configuration by then reads the store, or
-// one without a leader for so long: the next leader reads it as well. Not all
-// at the same moment: together they would wait for its reads.
+// A node reads the store itself once its configuration has been outdated for
+// kConfigBehindTimeout, or once it has had no leader for kLeaderlessTimeout; a
+// new leader reads the store as well. Each node adds a random delay of up to
+// kMaxStoreReadJitter, so that the nodes don't wait for each other's reads.
 constexpr milliseconds kConfigBehindTimeout{1000};
 constexpr milliseconds kLeaderlessTimeout{2000};
 constexpr milliseconds kMaxStoreReadJitter{500};
 constexpr milliseconds kAnnounceInterval{400};
 constexpr milliseconds kMaxConnectionIdle{3000};
 constexpr milliseconds kNoMajorityTimeout{1500};
-// How long a leader that has resigned goes on before it follows another.
+// How long a resigned leader without a majority goes on before it follows
+// another.
 constexpr milliseconds kResignationGrace{100};
 constexpr milliseconds kResignationNoticePeriod{1500};
 
@@ -72,9 +80,10 @@
 struct MeshAgent::Waiter {
   explicit Waiter(boost::asio::io_context& loop) : timer(loop) {}
   boost::asio::steady_timer timer;
-  // The one that waits for an answer; nothing for this node's own pauses.
+  // The heartbeat that waits for a reply; nullptr for pauses of this node's own
+  // loop.
   const Heartbeat* heartbeat = nullptr;
-  // Named to it once there is one.
+  // Set when a configuration source has been assigned to the heartbeat's node.
   std::string config_source;
 };
 
@@ -125,8 +134,9 @@
 }
 
 void MeshAgent::ResignBeforeLeaving() {
-  // While the store is away nobody can take over, and all owners would stop
-  // with their leases: this node leads on for as long as it may still run.
+  // While the store is unavailable no other node can claim the mesh, and all
+  // targets would stop when their leases end. So this node goes on leading for
+  // as long as it may run.
   if (!m_leader || m_leader->has_resigned() || !m_config.is_store_answering())
     return;
   const std::string successor = m_leader->FindSuccessor();
@@ -137,13 +147,14 @@
 void MeshAgent::ResignToFitterLeader() {
   if (m_leader->has_resigned() || !m_config.is_store_answering())
     return;
-  const std::string fitter = m_leader->FindFitterLeader();
-  if (!fitter.empty())
-    Resign(fitter, "a fitter host");
+  const std::string fitter_leader = m_leader->FindFitterLeader();
+  if (!fitter_leader.empty())
+    Resign(fitter_leader, "a fitter host is available");
 }
 
-void MeshAgent::Resign(const std::string& successor, const std::string& why) {
-  spdlog::warn("event=resigns successor={} reason=\"{}\"", successor, why);
+void MeshAgent::Resign(const std::string& successor,
+                       const std::string& reason) {
+  spdlog::warn("event=resigns successor={} reason=\"{}\"", successor, reason);
   m_leader->Resign(successor);
   m_report_resigned_until = m_clock.Now() + kResignationNoticePeriod;
   AnswerWaitingHeartbeats();
@@ -167,18 +178,19 @@
 Clock::Duration MeshAgent::TimeWithoutLeader() const {
   if (m_leader)
     return Clock::Duration(0);
-  const Clock::Duration silence = m_leader_tracker.TimeSinceLeaderReply();
-  return silence < m_timing.heartbeat_interval + kReplyTimeoutMargin
+  const Clock::Duration time_since_reply =
+      m_leader_tracker.TimeSinceLeaderReply();
+  return time_since_reply < m_timing.heartbeat_interval + kReplyTimeoutMargin
              ? Clock::Duration(0)
-             : silence;
+             : time_since_reply;
 }
 
 Task<> MeshAgent::Pause(milliseconds duration) {
-  auto waiting = std::make_shared<Waiter>(m_loop);
-  waiting->timer.expires_after(duration);
-  m_current_pause = waiting;
+  auto waiter = std::make_shared<Waiter>(m_loop);
+  waiter->timer.expires_after(duration);
+  m_current_pause = waiter;
   boost::system::error_code ignored;
-  co_await waiting->timer.async_wait(
+  co_await waiter->timer.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
   m_current_pause.reset();
 }
@@ -229,12 +241,12 @@
       std::move(request), std::max<Clock::Duration>(left, milliseconds(1)));
   m_peers.GiveBack(address, std::move(connection));
   if (response.head.status != kOk)
-    throw MalformedMessageError(peer + " answered " +
+    throw MalformedMessageError(peer + " answered with status " +
                                 std::to_string(response.head.status));
   co_return std::move(response.body);
 }
 
-Heartbeat MeshAgent::MakeHeartbeat(bool promises) {
+Heartbeat MeshAgent::MakeHeartbeat(bool is_vote_promised) {
   Heartbeat heartbeat;
   heartbeat.address = m_identity.address;
   heartbeat.data_address = m_identity.data_address;
@@ -243,7 +255,7 @@
       m_identity.leader_fitness * Heartbeat::kMaxLeaderFitnessMilli);
   heartbeat.incarnation = m_incarnation;
   heartbeat.sequence = ++m_sequence;
-  heartbeat.is_vote_promised = promises;
+  heartbeat.is_vote_promised = is_vote_promised;
   heartbeat.leader_nonce = m_leader_nonce;
   heartbeat.leader_stamp_ns = m_leader_stamp_ns;
   heartbeat.epoch = m_view.epoch();
@@ -262,8 +274,8 @@
   while (m_is_heartbeat_due && !m_leader && m_leader_tracker.is_following()) {
     m_is_heartbeat_due = false;
     const std::string leader = m_leader_tracker.address();
-    const bool promises = TryPromiseVote(leader);
-    Heartbeat heartbeat = MakeHeartbeat(promises);
+    const bool is_vote_promised = TryPromiseVote(leader);
+    Heartbeat heartbeat = MakeHeartbeat(is_vote_promised);
     heartbeat.is_urgent = true;
     const Clock::TimePoint sent = m_clock.Now();
     try {
@@ -272,7 +284,7 @@
           kReplyTimeoutMargin);
       HandleReply(DecodeReply(body), leader, sent);
     } catch (const std::exception& error) {
-      // The regular heartbeat says it again.
+      // The next regular heartbeat repeats the information.
       spdlog::debug("event=urgent-heartbeat-failed leader={} reason=\"{}\"",
                     leader, error.what());
     }
@@ -283,8 +295,8 @@
 Task<> MeshAgent::SendHeartbeat() {
   const std::string leader = m_leader_tracker.address();
   const Clock::TimePoint sent = m_clock.Now();
-  const bool promises = TryPromiseVote(leader);
-  const Heartbeat heartbeat = MakeHeartbeat(promises);
+  const bool is_vote_promised = TryPromiseVote(leader);
+  const Heartbeat heartbeat = MakeHeartbeat(is_vote_promised);
   std::string failure;
   try {
     const std::string body = co_await CallPeer(
@@ -295,7 +307,8 @@
     if (HandleReply(reply, leader, sent))
       co_return;
   } catch (const ConnectRefusedError& error) {
-    // Its process is gone: it leads nobody, and counts on no vote.
+    // The leader's process is gone: it no longer leads, and doesn't count on
+    // this node's vote.
     m_vote_promise.Release(leader);
     m_refused_since.try_emplace(leader, m_clock.Now());
     RecordLeaderGone(leader);
@@ -312,7 +325,7 @@
     }
     co_return;
   }
-  // Whoever was asked does not lead, or does not yet.
+  // The node asked is not the leader, or not yet.
   co_await Pause(kStepInterval);
 }
 
@@ -352,9 +365,9 @@
       m_leader_tracker.OnNotLeading(from, reply.leader_hint);
     return false;
   }
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kApplyView);
-  // An old leader that does not know of its successor yet.
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kApplyView);
+  // The sender is an old leader that hasn't learned of its successor yet.
   if (reply.view.epoch < m_view.epoch()) {
     m_leader_tracker.OnDeposed(from);
     return false;
@@ -369,10 +382,11 @@
     m_lease_until =
         std::max(m_lease_until, sent + milliseconds(reply.lease_ms));
   UpdateConfigState(reply);
-  const bool is_news = !reply.view.is_empty();
+  const bool has_view_changes = !reply.view.is_empty();
   m_view.Apply(reply.view);
-  // First what the node has lost: with the new lease it could hold on to it.
-  if (is_news)
+  // The listener gets the view before the reply with the new lease: with the
+  // lease first, it could keep keys that the view has taken from this node.
+  if (has_view_changes)
     m_listener.OnViewChanged();
   m_listener.OnReply(reply);
   return true;
@@ -388,7 +402,8 @@
     m_config_behind_since = m_clock.Now();
     m_config_behind_version = version;
   }
-  // The leader should hear at once that this node can be a source.
+  // When the fetch ends, an immediate heartbeat tells the leader that this node
+  // can serve as a source.
   if (!reply.config_source.empty())
     m_transfer.FetchFrom(reply.config_source, [this] { TriggerHeartbeat(); });
 }
@@ -400,7 +415,8 @@
     reply.leader_hint = m_leader_tracker.is_following()
                             ? m_leader_tracker.address()
                             : m_vote_promise.holder();
-    // A voter that missed the resignation would keep its promise.
+    // Reported for a while: a voter that missed the resignation would otherwise
+    // keep its promise to this node.
     reply.has_resigned = m_clock.Now() < m_report_resigned_until;
     reply.is_new_process = m_vote_promise.is_abstaining();
     if (reply.leader_hint == heartbeat.address && !reply.has_resigned)
@@ -437,23 +453,23 @@
   if (m_leader) {
     config_source = m_config_distributor->AssignSource(heartbeat.address);
     if (config_source.empty() && !m_leader->NeedsImmediateReply(heartbeat)) {
-      auto waiting = std::make_shared<Waiter>(m_loop);
-      waiting->heartbeat = &heartbeat;
-      waiting->timer.expires_after(m_timing.heartbeat_interval);
-      m_waiting_heartbeats.insert(waiting);
+      auto waiter = std::make_shared<Waiter>(m_loop);
+      waiter->heartbeat = &heartbeat;
+      waiter->timer.expires_after(m_timing.heartbeat_interval);
+      m_waiting_heartbeats.insert(waiter);
       boost::system::error_code ignored;
-      co_await waiting->timer.async_wait(
+      co_await waiter->timer.async_wait(
           boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
-      m_waiting_heartbeats.erase(waiting);
-      config_source = waiting->config_source;
+      m_waiting_heartbeats.erase(waiter);
+      config_source = waiter->config_source;
     }
   }
   co_return MakeHeartbeatResponse(heartbeat, config_source);
 }
 
 Heartbeat MeshAgent::ProcessHeartbeat(const std::string& bytes) {
-  const LoopMonitor::ScopedTimer section(
-      m_monitor, LoopMonitor::Activity::kAnswerHeartbeat);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kAnswerHeartbeat);
   Heartbeat heartbeat = MeshMessageCodec::DecodeHeartbeat(bytes);
   if (m_leader && heartbeat.epoch > m_leader->view().epoch())
     StepDown("deposed");
@@ -471,45 +487,42 @@
 HttpResponse MeshAgent::MakeHeartbeatResponse(
     const Heartbeat& heartbeat,
     const std::string& config_source) {
-  const LoopMonitor::ScopedTimer section(
-      m_monitor, LoopMonitor::Activity::kAnswerHeartbeat);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kAnswerHeartbeat);
   return HttpResponse::WithStatus(
       kOk, MeshMessageCodec::Encode(MakeReply(heartbeat, config_source)));
 }
 
 HeartbeatReply MeshAgent::DecodeReply(const std::string& bytes) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kApplyView);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kApplyView);
   return MeshMessageCodec::DecodeHeartbeatReply(bytes);
 }
 
 MeshRecord MeshAgent::DecodeRecord(const std::string& bytes) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kMeshRecord);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kMeshRecord);
   return MeshMessageCodec::DecodeRecord(bytes);
 }
 
 std::string MeshAgent::EncodeRecord(const MeshRecord& record) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kMeshRecord);
+  const LoopMonitor::ScopedTimer timer(m_monitor,
+                                       LoopMonitor::Activity::kMeshRecord);
   return MeshMessageCodec::Encode(record);
 }
 
 void MeshAgent::TickLeader(MeshLeader& leader) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kPlan);
+  const LoopMonitor::ScopedTimer timer(m_monitor, LoopMonitor::Activity::kPlan);
   leader.Tick();
 }
 
 std::optional<MeshRecord> MeshAgent::RecordToStore(MeshLeader& leader) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kPlan);
+  const LoopMonitor::ScopedTimer timer(m_monitor, LoopMonitor::Activity::kPlan);
   return leader.RecordToStore();
 }
 
 void MeshAgent::NotifyStored(MeshLeader& leader) {
-  const LoopMonitor::ScopedTimer section(m_monitor,
-                                         LoopMonitor::Activity::kPlan);
+  const LoopMonitor::ScopedTimer timer(m_monitor, LoopMonitor::Activity::kPlan);
   leader.OnStored();
 }
 
@@ -579,9 +592,9 @@
 }
 
 milliseconds MeshAgent::FitnessDelay() {
-  const double lack = 1 - m_identity.leader_fitness;
+  const double deficit = 1 - m_identity.leader_fitness;
   return milliseconds(
-             static_cast<std::int64_t>(lack * kMaxFitnessDelay.count())) +
+             static_cast<std::int64_t>(deficit * kMaxFitnessDelay.count())) +
          milliseconds(m_random() % kRankStep.count());
 }
 
@@ -591,30 +604,31 @@
         .DelayFor(m_identity.address, m_random());
   }
   std::size_t rank = 0;
-  const auto order = [&record](const std::string& address) {
+  const auto tie_break = [&record](const std::string& address) {
     return ElectionDelay::TieBreakHash(address, record.epoch);
   };
   for (const std::string& voter : record.voters)
-    rank += order(voter) < order(m_identity.address) ? 1 : 0;
+    rank += tie_break(voter) < tie_break(m_identity.address) ? 1 : 0;
   return std::min(kMaxRankDelay, kRankStep * static_cast<int>(rank)) +
          FitnessDelay();
 }
 
-Task<> MeshAgent::ClaimNewMesh(std::uint64_t end) {
+Task<> MeshAgent::ClaimNewMesh(std::uint64_t end_position) {
   co_await Pause(FitnessDelay());
   MeshRecord record;
   record.voters = {m_identity.address};
-  if (co_await ClaimLeadership(record, end))
+  if (co_await ClaimLeadership(record, end_position))
     co_return;
   co_await Pause(kStepInterval);
 }
 
-Task<bool> MeshAgent::ClaimLeadership(MeshRecord record, std::uint64_t end) {
+Task<bool> MeshAgent::ClaimLeadership(MeshRecord record,
+                                      std::uint64_t end_position) {
   ++record.epoch;
   record.leader = m_identity.address;
   const std::string bytes = EncodeRecord(record);
   try {
-    m_record_end_position = co_await m_store.WriteRecord(bytes, end);
+    m_record_end_position = co_await m_store.WriteRecord(bytes, end_position);
   } catch (const StoreRefusedError& error) {
     spdlog::info("event=claim-refused epoch={} reason=\"{}\"", record.epoch,
                  error.what());
@@ -655,40 +669,42 @@
 }
 
 Task<> MeshAgent::RequestVote(std::string voter,
-                              std::shared_ptr<VoteRound> count) {
+                              std::shared_ptr<VoteRound> round) {
   VoteRequest request;
   request.candidate = m_identity.address;
-  request.is_previous_leader_gone = count->is_leader_gone;
+  request.is_previous_leader_gone = round->is_leader_gone;
   try {
     const std::string body = co_await CallPeer(
         voter, kVotePath, MeshMessageCodec::Encode(request), kVoteTimeout);
     m_refused_since.erase(voter);
     const VoteReply reply = MeshMessageCodec::DecodeVoteReply(body);
     if (reply.is_granted)
-      count->granted.insert(voter);
+      round->granted.insert(voter);
     else if (!reply.leader_hint.empty())
-      count->leader_hint = reply.leader_hint;
+      round->leader_hint = reply.leader_hint;
   } catch (const ConnectRefusedError&) {
-    // Its process is gone. What it promised before runs out within a promise's
-    // length, and a new process promises nothing for as long.
+    // The voter's process is gone. Any promise of that process ends within one
+    // vote duration, and a new process at its address abstains for as long, so
+    // after that time its vote counts as granted.
     const auto since =
         m_refused_since.try_emplace(voter, m_clock.Now()).first->second;
     if (m_clock.Now() - since > m_timing.vote_duration)
-      count->granted.insert(voter);
+      round->granted.insert(voter);
   } catch (const std::exception& error) {
     m_refused_since.erase(voter);
     spdlog::debug("event=vote-unanswered voter={} reason=\"{}\"", voter,
                   error.what());
   }
-  --count->pending;
-  if (count->pending == 0 && m_current_pause)
+  --round->pending;
+  if (round->pending == 0 && m_current_pause)
     m_current_pause->timer.cancel();
 }
 
-void MeshAgent::ReleaseVotes(const VoteRound& count) {
-  // All at once, and nobody waits for it: one after the other, over full links,
-  // kept the fittest candidate from asking again until the promises had ended.
-  for (const std::string& voter : count.granted) {
+void MeshAgent::ReleaseVotes(const VoteRound& round) {
+  // Sent concurrently, and not awaited. Released one after the other over
+  // congested links, the fittest candidate couldn't ask again until the
+  // promises had expired.
+  for (const std::string& voter : round.granted) {
     if (voter != m_identity.address)
       boost::asio::co_spawn(m_loop, ReleaseVote(voter), boost::asio::detached);
   }
@@ -702,57 +718,58 @@
     co_await CallPeer(voter, kVotePath, MeshMessageCodec::Encode(request),
                       kVoteTimeout);
   } catch (const std::exception& error) {
-    // Its promise runs out by itself.
+    // The promise expires by itself.
     spdlog::debug("event=vote-not-given-back voter={} reason=\"{}\"", voter,
                   error.what());
   }
 }
 
 Task<> MeshAgent::Campaign(MeshRecord record,
-                           std::uint64_t end,
-                           bool is_named) {
+                           std::uint64_t end_position,
+                           bool is_named_successor) {
   const bool is_leader_gone = IsLeaderGone(record);
   if (m_vote_promise.is_abstaining() && !is_leader_gone) {
     co_await Pause(kDelayAfterFailure);
     co_return;
   }
-  if (!is_named) {
+  if (!is_named_successor) {
     const milliseconds delay = CampaignDelay(record);
     co_await Pause(delay);
   }
   if (m_leader_tracker.is_following() ||
       !m_vote_promise.Promise(m_identity.address, is_leader_gone))
     co_return;
-  auto count = std::make_shared<VoteRound>();
-  count->is_leader_gone = is_leader_gone;
-  count->asked_at = m_clock.Now();
+  auto round = std::make_shared<VoteRound>();
+  round->is_leader_gone = is_leader_gone;
+  round->asked_at = m_clock.Now();
   for (const std::string& voter : record.voters) {
     if (voter == m_identity.address) {
-      count->granted.insert(voter);
+      round->granted.insert(voter);
       continue;
     }
-    ++count->pending;
-    boost::asio::co_spawn(m_loop, RequestVote(voter, count),
+    ++round->pending;
+    boost::asio::co_spawn(m_loop, RequestVote(voter, round),
                           boost::asio::detached);
   }
-  const Clock::TimePoint give_up = m_clock.Now() + kVoteTimeout + kStepInterval;
+  const Clock::TimePoint give_up_at =
+      m_clock.Now() + kVoteTimeout + kStepInterval;
   const std::size_t needed = record.voters.size() / 2 + 1;
-  while (count->pending > 0 && count->granted.size() < needed &&
-         m_clock.Now() < give_up)
+  while (round->pending > 0 && round->granted.size() < needed &&
+         m_clock.Now() < give_up_at)
     co_await Pause(milliseconds(10));
   spdlog::info("event=campaign epoch={} votes={} needed={}", record.epoch + 1,
-               count->granted.size(), needed);
-  if (count->granted.size() >= needed &&
-      co_await ClaimLeadership(record, end)) {
-    for (const std::string& voter : count->granted)
-      m_leader->OnVote(voter, count->asked_at);
+               round->granted.size(), needed);
+  if (round->granted.size() >= needed &&
+      co_await ClaimLeadership(record, end_position)) {
+    for (const std::string& voter : round->granted)
+      m_leader->OnVote(voter, round->asked_at);
     co_return;
   }
   m_vote_promise.Release(m_identity.address);
-  ReleaseVotes(*count);
-  if (!count->leader_hint.empty() && count->leader_hint != m_identity.address &&
-      !m_leader_tracker.HasRecentlyFailed(count->leader_hint)) {
-    m_leader_tracker.Follow(count->leader_hint);
+  ReleaseVotes(*round);
+  if (!round->leader_hint.empty() && round->leader_hint != m_identity.address &&
+      !m_leader_tracker.HasRecentlyFailed(round->leader_hint)) {
+    m_leader_tracker.Follow(round->leader_hint);
   }
   co_await Pause(kDelayAfterFailure +
                  milliseconds(m_random() % kDelayAfterFailure.count()));
@@ -781,8 +798,8 @@
     StepDown("resigned");
     co_return;
   }
-  // While the store is away nobody else can claim the mesh: better go on, and
-  // lead again once most nodes are back.
+  // While the store is unavailable no other node can claim the mesh. So this
+  // node goes on, and leads again once most nodes are back.
   if (m_leader_tracker.TimeSinceLeaderReply() > kNoMajorityTimeout &&
       m_config.is_store_answering()) {
     StepDown("no-majority");
@@ -829,9 +846,9 @@
     NotifyStored(*leader);
     co_return true;
   } catch (const StoreConflictError&) {
-    // Looked into below: a handler can't wait for the store.
+    // Handled below, since a catch block can't co_await.
   }
-  // Either an earlier try of this write took effect without an answer, or
+  // Either an earlier attempt of this write took effect without an answer, or
   // another node has claimed the mesh.
   const MeshStore::StoredRecord stored = co_await m_store.ReadRecord();
   if (stored.bytes && *stored.bytes == bytes) {
@@ -855,7 +872,7 @@
 Task<> MeshAgent::StoreRecord(MeshRecord record,
                               std::shared_ptr<MeshLeader> leader) {
   const std::string bytes = EncodeRecord(record);
-  const Clock::TimePoint began = m_clock.Now();
+  const Clock::TimePoint started = m_clock.Now();
   bool is_done = false;
   while (!is_done && m_leader == leader) {
     std::string failure;
@@ -867,7 +884,7 @@
     if (is_done || m_leader != leader)
       break;
     const std::string successor = leader->FindSuccessor();
-    if (!failure.empty() && m_clock.Now() - began > kStoreLossTimeout &&
+    if (!failure.empty() && m_clock.Now() - started > kStoreLossTimeout &&
         leader->CanSuccessorReachStore() && !leader->has_resigned()) {
       Resign(successor, failure);
     }
@@ -878,34 +895,35 @@
     co_return;
   m_is_storing = false;
   AnswerWaitingHeartbeats();
-  // This node itself should learn of it now.
+  // Ends the pause, so that this node applies the stored changes itself at
+  // once.
   if (m_current_pause)
     m_current_pause->timer.cancel();
 }
 
 void MeshAgent::AnswerWaitingHeartbeats() {
-  bool is_for_all = true;
+  bool is_broadcast = true;
   if (m_leader && !m_leader->has_resigned()) {
     const std::uint64_t version = m_leader->view().version();
     const Clock::TimePoint now = m_clock.Now();
-    is_for_all = version != m_broadcast_version &&
-                 now - m_last_broadcast >=
-                     kBroadcastIntervalPerNode * m_leader->node_count();
-    if (is_for_all) {
+    is_broadcast = version != m_broadcast_version &&
+                   now - m_last_broadcast >=
+                       kBroadcastIntervalPerNode * m_leader->node_count();
+    if (is_broadcast) {
       m_last_broadcast = now;
       m_broadcast_version = version;
     }
   }
-  for (const std::shared_ptr<Waiter>& waiting : m_waiting_heartbeats) {
-    const bool is_behind = m_leader && waiting->heartbeat->config_version <
+  for (const std::shared_ptr<Waiter>& waiter : m_waiting_heartbeats) {
+    const bool is_behind = m_leader && waiter->heartbeat->config_version <
                                            m_config_distributor->newest();
-    if (is_behind && waiting->config_source.empty()) {
-      waiting->config_source =
-          m_config_distributor->AssignSource(waiting->heartbeat->address);
+    if (is_behind && waiter->config_source.empty()) {
+      waiter->config_source =
+          m_config_distributor->AssignSource(waiter->heartbeat->address);
     }
-    if (is_for_all || !waiting->config_source.empty() ||
-        m_leader->NeedsImmediateReply(*waiting->heartbeat))
-      waiting->timer.cancel();
+    if (is_broadcast || !waiter->config_source.empty() ||
+        m_leader->NeedsImmediateReply(*waiter->heartbeat))
+      waiter->timer.cancel();
   }
 }
 
