--- a/modules/coordination/coordinator_dump.h
+++ b/modules/coordination/coordinator_dump.h
@@ -11,7 +11,7 @@
 #include "modules/state/identifiers.h"
 #include "modules/state/member_id.h"
 #include "modules/state/service_id.h"
-#include "modules/state/slot_run.h"
+#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
@@ -28,7 +28,7 @@
     ServiceId service;
     std::uint32_t slot_count = 0;
     std::uint32_t unowned_slots = 0;
-    std::vector<std::pair<SlotRun, Epoch>> runs;
+    std::vector<std::pair<OwnedSlotRange, Epoch>> runs;
   };
   struct MoveView {
     MemberId receiver;
--- a/modules/coordination/mesh/key_assigner.cc
+++ b/modules/coordination/mesh/key_assigner.cc
@@ -255,7 +255,7 @@
       };
       for (const SlotAssignment& assignment :
            CopyMatching(table.AssignmentsIn(move.range), is_of_giver))
-        PlanMove(service, assignment, assignment.range.CommonPart(move.range),
+        PlanMove(service, assignment, assignment.range.Intersection(move.range),
                  *receiver);
     }
   }
@@ -273,7 +273,7 @@
   const std::vector<SlotAssignment> assignments =
       CopyMatching(found->second.AssignmentsIn(released.range), is_released);
   for (SlotAssignment assignment : assignments) {
-    assignment.range = assignment.range.CommonPart(released.range);
+    assignment.range = assignment.range.Intersection(released.range);
     CompleteRelease(released.service, assignment, released.handover);
   }
   if (!assignments.empty())
--- a/modules/coordination/mesh/mesh_leader.cc
+++ b/modules/coordination/mesh/mesh_leader.cc
@@ -456,7 +456,7 @@
        current.AssignmentsIn(change.assignment.range)) {
     if (!assignment.SameAssignment(change.assignment))
       continue;
-    assignment.range = assignment.range.CommonPart(change.assignment.range);
+    assignment.range = assignment.range.Intersection(change.assignment.range);
     m_view.Assign(change.service, assignment);
     m_required_view_versions[assignment.owner] = m_view.version();
   }
--- a/modules/coordination/mesh/ownership_model_test.cc
+++ b/modules/coordination/mesh/ownership_model_test.cc
@@ -173,7 +173,7 @@
     std::vector<SlotRange> named;
     for (const Hold& hold : m_holds) {
       if (hold.fence == old.fence && hold.range.Overlaps(old.range))
-        named.push_back(hold.range.CommonPart(old.range));
+        named.push_back(hold.range.Intersection(old.range));
     }
     std::sort(named.begin(), named.end());
     named.push_back({old.range.last + 1, old.range.last + 1});
--- a/modules/coordination/move_coordinator.cc
+++ b/modules/coordination/move_coordinator.cc
@@ -68,7 +68,7 @@
     return receiver.member == m_context->self();
   });
   std::map<MemberId, std::vector<SlotIndex>> shares;
-  for (const SlotRun& run : SlotSpreader::Spread(slots, receivers)) {
+  for (const OwnedSlotRange& run : SlotSpreader::Spread(slots, receivers)) {
     for (std::uint32_t i = 0; i < run.count; ++i) {
       shares[run.owner].emplace_back(run.first.value() + i);
     }
--- a/modules/coordination/node_coordinator_dump.cc
+++ b/modules/coordination/node_coordinator_dump.cc
@@ -49,7 +49,7 @@
   }
   for (const auto& [id, table] : state().services()) {
     dump.services.push_back(
-        {id, table.slot_count(), table.UnownedCount(), table.Runs()});
+        {id, table.slot_count(), table.UnownedCount(), table.OwnedRanges()});
   }
   dump.moves = m_moves.Dump();
   dump.recoveries = m_recovery.Dump();
--- a/modules/coordination/node_coordinator_records.cc
+++ b/modules/coordination/node_coordinator_records.cc
@@ -10,10 +10,10 @@
 namespace {
 
 // Slots of `runs` that go to `owner`.
-std::vector<SlotIndex> SlotsFor(const std::vector<SlotRun>& runs,
+std::vector<SlotIndex> SlotsFor(const std::vector<OwnedSlotRange>& runs,
                                 const MemberId& owner) {
   std::vector<SlotIndex> slots;
-  for (const SlotRun& run : runs) {
+  for (const OwnedSlotRange& run : runs) {
     for (std::uint32_t i = 0; run.owner == owner && i < run.count; ++i) {
       slots.emplace_back(run.first.value() + i);
     }
@@ -115,7 +115,7 @@
   if (record.from != m_context.self()) {
     return;
   }
-  for (const SlotRun& run : record.runs) {
+  for (const OwnedSlotRange& run : record.runs) {
     for (std::uint32_t i = 0; i < run.count; ++i) {
       const SlotIndex slot(run.first.value() + i);
       m_recovery.OnSlotLost(slot);
--- a/modules/coordination/node_coordinator_test.cc
+++ b/modules/coordination/node_coordinator_test.cc
@@ -76,7 +76,7 @@
   const std::size_t own =
       mesh.reference()
           .FindSlots(mesh.node(2).service())
-          ->CountOf(*mesh.node(2).coordinator().Dump().identity);
+          ->CountOwnedBy(*mesh.node(2).coordinator().Dump().identity);
   mesh.node(2).Kill();
   mesh.RunFor(milliseconds(100));
   CHECK_FALSE(mesh.IsEverySlotServed());
--- a/modules/coordination/ownership_board_test.cc
+++ b/modules/coordination/ownership_board_test.cc
@@ -21,7 +21,7 @@
 std::shared_ptr<BoardView> MakeView() {
   auto view = std::make_shared<BoardView>();
   auto slots = std::make_shared<SlotTable>(4, 0);
-  slots->Give({SlotIndex(0), 4, kSelf}, Epoch(9));
+  slots->Assign({SlotIndex(0), 4, kSelf}, Epoch(9));
   view->ready = true;
   view->self = kSelf;
   view->own_service = kService;
--- a/modules/coordination/slot_assigner.cc
+++ b/modules/coordination/slot_assigner.cc
@@ -41,7 +41,7 @@
   if (!HasSettled()) {
     return;
   }
-  std::vector<SlotRun> runs = SlotSpreader::Spread(
+  std::vector<OwnedSlotRange> runs = SlotSpreader::Spread(
       UnownedSlots(),
       SlotSpreader::ReceiversFor(*m_context, m_context->service()));
   if (runs.empty()) {
--- a/modules/coordination/slot_spreader.cc
+++ b/modules/coordination/slot_spreader.cc
@@ -20,7 +20,7 @@
   const auto first = state.members().lower_bound({node, Incarnation()});
   for (auto it = first; it != state.members().end() && it->first.node == node;
        ++it) {
-    count += slots.CountOf(it->first);
+    count += slots.CountOwnedBy(it->first);
   }
   return count;
 }
@@ -53,9 +53,10 @@
   return receivers;
 }
 
-std::vector<SlotRun> SlotSpreader::Spread(const std::vector<SlotIndex>& slots,
-                                          std::vector<Receiver> receivers) {
-  std::vector<SlotRun> runs;
+std::vector<OwnedSlotRange> SlotSpreader::Spread(
+    const std::vector<SlotIndex>& slots,
+    std::vector<Receiver> receivers) {
+  std::vector<OwnedSlotRange> runs;
   if (receivers.empty()) {
     return runs;
   }
@@ -80,7 +81,7 @@
   auto begin = slots.begin();
   for (std::size_t i = 0; i < receivers.size(); ++i) {
     const auto end = begin + static_cast<std::ptrdiff_t>(shares[i]);
-    const std::vector<SlotRun> own =
+    const std::vector<OwnedSlotRange> own =
         RunsOf(std::vector<SlotIndex>(begin, end), receivers[i].member);
     runs.insert(runs.end(), own.begin(), own.end());
     begin = end;
@@ -88,9 +89,10 @@
   return runs;
 }
 
-std::vector<SlotRun> SlotSpreader::RunsOf(const std::vector<SlotIndex>& slots,
-                                          const MemberId& owner) {
-  std::vector<SlotRun> runs;
+std::vector<OwnedSlotRange> SlotSpreader::RunsOf(
+    const std::vector<SlotIndex>& slots,
+    const MemberId& owner) {
+  std::vector<OwnedSlotRange> runs;
   for (const SlotIndex slot : slots) {
     const bool follows =
         !runs.empty() &&
--- a/modules/coordination/slot_spreader.h
+++ b/modules/coordination/slot_spreader.h
@@ -6,7 +6,7 @@
 #include "modules/state/identifiers.h"
 #include "modules/state/member_id.h"
 #include "modules/state/service_id.h"
-#include "modules/state/slot_run.h"
+#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
@@ -30,12 +30,12 @@
 
   // Neighbouring slots stay together as far as the shares allow, so that
   // records stay short. Empty when there is no receiver.
-  static std::vector<SlotRun> Spread(const std::vector<SlotIndex>& slots,
-                                     std::vector<Receiver> receivers);
+  static std::vector<OwnedSlotRange> Spread(const std::vector<SlotIndex>& slots,
+                                            std::vector<Receiver> receivers);
 
   // `slots` in ascending order, as runs of one owner.
-  static std::vector<SlotRun> RunsOf(const std::vector<SlotIndex>& slots,
-                                     const MemberId& owner);
+  static std::vector<OwnedSlotRange> RunsOf(const std::vector<SlotIndex>& slots,
+                                            const MemberId& owner);
 };
 
 }  // namespace citrongrade
--- a/modules/protocol/config_rules_test.cc
+++ b/modules/protocol/config_rules_test.cc
@@ -53,7 +53,7 @@
     join.service = kSorteio;
     const Incarnation incarnation(m_state.next_offset().value());
     REQUIRE(Apply(join).accepted());
-    const SlotRun run{SlotIndex(0), count, {join.node, incarnation}};
+    const OwnedSlotRange run{SlotIndex(0), count, {join.node, incarnation}};
     REQUIRE(Apply(AssignRecord{kSorteio, count, 0, {run}}).accepted());
   }
   const MeshState& state() const { return m_state; }
--- a/modules/protocol/mesh_image_codec.cc
+++ b/modules/protocol/mesh_image_codec.cc
@@ -195,8 +195,8 @@
     if (count == 0 || position + count > service.slot_count) {
       throw MalformedJsonError("grant: slots that do not exist");
     }
-    const SlotRun run{SlotIndex(static_cast<std::uint32_t>(position)),
-                      static_cast<std::uint32_t>(count), owners[owner]};
+    const OwnedSlotRange run{SlotIndex(static_cast<std::uint32_t>(position)),
+                             static_cast<std::uint32_t>(count), owners[owner]};
     service.runs.emplace_back(run, epoch);
     position += count;
   }
--- a/modules/protocol/mesh_json.cc
+++ b/modules/protocol/mesh_json.cc
@@ -87,11 +87,12 @@
   throw MalformedJsonError("kind: is neither template nor service");
 }
 
-void MeshJson::WriteRuns(json& object, const std::vector<SlotRun>& runs) {
+void MeshJson::WriteRuns(json& object,
+                         const std::vector<OwnedSlotRange>& runs) {
   std::map<MemberId, std::size_t> index_of_owner;
   json owners = json::array();
   json numbers = json::array();
-  for (const SlotRun& run : runs) {
+  for (const OwnedSlotRange& run : runs) {
     const auto [owner, is_new] =
         index_of_owner.try_emplace(run.owner, owners.size());
     if (is_new) {
@@ -105,7 +106,7 @@
   object["runs"] = std::move(numbers);
 }
 
-std::vector<SlotRun> MeshJson::ReadRuns(JsonObjectReader& object) {
+std::vector<OwnedSlotRange> MeshJson::ReadRuns(JsonObjectReader& object) {
   const std::vector<MemberId> owners =
       ReadMembers(object.Array("owners", SizeLimits::kMaxMembers));
   const json& numbers =
@@ -113,7 +114,7 @@
   if (numbers.size() % kNumbersPerRun != 0) {
     throw MalformedJsonError("runs: not three numbers for each run");
   }
-  std::vector<SlotRun> runs;
+  std::vector<OwnedSlotRange> runs;
   runs.reserve(numbers.size() / kNumbersPerRun);
   for (std::size_t i = 0; i < numbers.size(); i += kNumbersPerRun) {
     const std::uint64_t first = JsonObjectReader::AsNumber(
--- a/modules/protocol/mesh_json.h
+++ b/modules/protocol/mesh_json.h
@@ -9,7 +9,7 @@
 #include "modules/state/records/config_kind.h"
 #include "modules/state/records/join_record.h"
 #include "modules/state/service_id.h"
-#include "modules/state/slot_run.h"
+#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
@@ -36,8 +36,8 @@
   // Fields "owners", each owner once, and "runs": first slot, count and index
   // into owners, three numbers a run, since a record may hold thousands.
   static void WriteRuns(nlohmann::json& object,
-                        const std::vector<SlotRun>& runs);
-  static std::vector<SlotRun> ReadRuns(JsonObjectReader& object);
+                        const std::vector<OwnedSlotRange>& runs);
+  static std::vector<OwnedSlotRange> ReadRuns(JsonObjectReader& object);
 
   static void WriteJoin(nlohmann::json& object, const JoinRecord& record);
   static JoinRecord ReadJoin(JsonObjectReader& object);
--- a/modules/protocol/mesh_message_codec_test.cc
+++ b/modules/protocol/mesh_message_codec_test.cc
@@ -15,7 +15,9 @@
 
 namespace {
 
-SlotAssignment Run(std::uint32_t first, std::uint32_t last, const char* owner) {
+SlotAssignment MakeAssignment(std::uint32_t first,
+                              std::uint32_t last,
+                              const char* owner) {
   SlotAssignment run;
   run.range = {first, last};
   run.owner = owner;
@@ -35,7 +37,7 @@
   KeyTable table;
   for (std::uint32_t slot = 0; slot < kSlotCount; ++slot) {
     const std::size_t owner = slot % kManyNodes;
-    SlotAssignment run = Run(slot, slot, AddressOf(owner).c_str());
+    SlotAssignment run = MakeAssignment(slot, slot, AddressOf(owner).c_str());
     run.incarnation = {"i-" + std::to_string(1'000'000'000 + owner), 0};
     run.fence = (epoch << 24U) + slot;
     run.handover = "0123456789abcdef";
@@ -61,15 +63,16 @@
   reply.view.epoch = 3;
   reply.view.version = 12;
   reply.view.is_whole = true;
-  SlotAssignment own = Run(0, 9, "10.0.0.1:7240");
+  SlotAssignment own = MakeAssignment(0, 9, "10.0.0.1:7240");
   own.incarnation = {"t-1", 99};
   own.handover = "token";
   own.next = {"10.0.0.2:7240", {"t-2", 98}, own.fence + 1};
   reply.view.assignments.push_back({"divided", own});
-  reply.view.assignments.push_back({"divided", Run(10, 19, "10.0.0.2:7240")});
-  reply.view.assignments.push_back({"divided", Run(20, 29, "")});
   reply.view.assignments.push_back(
-      {"other", Run(0, kSlotCount - 1, "10.0.0.3:7240")});
+      {"divided", MakeAssignment(10, 19, "10.0.0.2:7240")});
+  reply.view.assignments.push_back({"divided", MakeAssignment(20, 29, "")});
+  reply.view.assignments.push_back(
+      {"other", MakeAssignment(0, kSlotCount - 1, "10.0.0.3:7240")});
   reply.config_source = "10.0.0.4:7240";
   reply.config_age_ms = 340;
   return reply;
@@ -90,8 +93,8 @@
   for (std::uint32_t i = 0; i < kRuns; ++i) {
     const std::string owner = "10.0.0." + std::to_string(i * 7 % 75) + ":7240";
     reply.view.assignments.push_back(
-        {"divided",
-         Run(i * kLength, i * kLength + kLength - 1, owner.c_str())});
+        {"divided", MakeAssignment(i * kLength, i * kLength + kLength - 1,
+                                   owner.c_str())});
   }
   // 11 bytes a run, owners included: what 75 nodes need after a change of
   // leader.
--- a/modules/protocol/record_codec_test.cc
+++ b/modules/protocol/record_codec_test.cc
@@ -19,9 +19,9 @@
 const MemberId kSecond{NodeId("node-2"), Incarnation(9)};
 
 std::vector<Record> OneOfEachKind() {
-  const std::vector<SlotRun> runs = {{SlotIndex(0), 3, kFirst},
-                                     {SlotIndex(3), 1, kSecond},
-                                     {SlotIndex(9), 2, kFirst}};
+  const std::vector<OwnedSlotRange> runs = {{SlotIndex(0), 3, kFirst},
+                                            {SlotIndex(3), 1, kSecond},
+                                            {SlotIndex(9), 2, kFirst}};
   return {UnreadableRecord{"why"},
           JoinRecord{NodeId("node-1"), AvailabilityZone("derby"), "127.0.0.1:1",
                      "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "boot",
--- a/modules/state/late_append_test.cc
+++ b/modules/state/late_append_test.cc
@@ -10,9 +10,9 @@
 const ServiceId kService{WorkspaceName("mesh"), ServiceName("alpha")};
 
 // A log of three members, each with the next one as its witness.
-class SmallLog {
+class ThreeMemberLog {
  public:
-  SmallLog() : m_state(m_accept_all) {
+  ThreeMemberLog() : m_state(m_accept_all) {
     for (int i = 0; i < 3; ++i) {
       JoinRecord join;
       join.node = NodeId(std::to_string(i));
@@ -58,19 +58,19 @@
 // copy lands: were it accepted, the receiver would serve the slot while the
 // owner, which has not read so far, still does.
 TEST_CASE("a transfer that lands late does not take a slot that came back") {
-  SmallLog log;
+  ThreeMemberLog log;
   const TransferRecord first = log.MakeTransfer(0, 1);
   CHECK(log.Apply(log.MakeTransfer(0, 1)).accepted());
   CHECK(log.Apply(log.MakeTransfer(1, 0)).accepted());
   CHECK(log.Apply(first).rejected == RejectReason::kStaleVersion);
-  CHECK(log.state().FindSlots(kService)->CountOf(log.member(0)) == 4);
+  CHECK(log.state().FindSlots(kService)->CountOwnedBy(log.member(0)) == 4);
 }
 
 // A node restarts; its new process leaves before it took back the slots of the
 // earlier one. A node that replayed this and one that restored it from a
 // snapshot must count the same members as current, or their tables part.
 TEST_CASE("a snapshot has the same current members as the replay") {
-  SmallLog log;
+  ThreeMemberLog log;
   JoinRecord join;
   join.node = NodeId("0");
   join.service = kService;
@@ -90,7 +90,7 @@
 // answer. It has come to count on the second when the first lands: were it
 // accepted, others could take over by witnesses that the member does not ask.
 TEST_CASE("a proposal that lands late does not replace a pending set") {
-  SmallLog log;
+  ThreeMemberLog log;
   const WitnessSetVersion base =
       log.state().FindMember(log.member(0))->witnesses.version;
   const WitnessSetRecord first{log.member(0), base, {log.member(1)}};
--- a/modules/state/mesh/config_change.cc
+++ b/modules/state/mesh/config_change.cc
@@ -17,9 +17,9 @@
   return by_name;
 }
 
-void CompareRoutes(const RoutingConfig& older,
-                   const RoutingConfig& newer,
-                   ConfigChange& change) {
+void AddRouteChanges(const RoutingConfig& older,
+                     const RoutingConfig& newer,
+                     ConfigChange& change) {
   const RoutesByName before = ByName(older.routes);
   const RoutesByName after = ByName(newer.routes);
   for (const auto& [name, route] : before) {
@@ -33,9 +33,9 @@
   }
 }
 
-void CompareServices(const RoutingConfig& older,
-                     const RoutingConfig& newer,
-                     ConfigChange& change) {
+void AddServiceChanges(const RoutingConfig& older,
+                       const RoutingConfig& newer,
+                       ConfigChange& change) {
   for (const auto& [name, service] : older.services) {
     if (!newer.services.contains(name))
       change.removed_services.push_back(name);
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-ConfigChange ConfigChange::Whole(const RoutingConfig& config) {
+ConfigChange ConfigChange::Full(const RoutingConfig& config) {
   return Between(RoutingConfig(), config);
 }
 
@@ -59,8 +59,8 @@
   change.from_version = older.version;
   change.to_version = newer.version;
   change.limits = newer.limits;
-  CompareRoutes(older, newer, change);
-  CompareServices(older, newer, change);
+  AddRouteChanges(older, newer, change);
+  AddServiceChanges(older, newer, change);
   return change;
 }
 
--- a/modules/state/mesh/config_change.h
+++ b/modules/state/mesh/config_change.h
@@ -26,7 +26,7 @@
   // the store can be followed; nothing: not known.
   std::optional<std::uint64_t> store_next;
 
-  static ConfigChange Whole(const RoutingConfig& config);
+  static ConfigChange Full(const RoutingConfig& config);
   static ConfigChange Between(const RoutingConfig& older,
                               const RoutingConfig& newer);
 
--- a/modules/state/mesh/config_change_test.cc
+++ b/modules/state/mesh/config_change_test.cc
@@ -46,7 +46,7 @@
 }
 
 TEST_CASE("a change from nothing names everything and needs no base") {
-  CHECK(ConfigChange::Whole(Newer()).ApplyTo(Older()) == Newer());
+  CHECK(ConfigChange::Full(Newer()).ApplyTo(Older()) == Newer());
 }
 
 TEST_CASE("a change is as long as the difference, not as the configuration") {
--- a/modules/state/mesh/config_history.h
+++ b/modules/state/mesh/config_history.h
@@ -17,13 +17,13 @@
 // back. Thread-confined.
 class ConfigHistory {
  public:
-  using Version = std::shared_ptr<const RoutingConfig>;
+  using ConfigPtr = std::shared_ptr<const RoutingConfig>;
 
   // False, and nothing happens, unless it is newer than all before.
-  bool Add(Version config);
+  bool Add(ConfigPtr config);
 
   // Nothing until the first one.
-  const Version& newest() const { return m_newest; }
+  const ConfigPtr& newest() const { return m_newest; }
   std::uint64_t version() const { return m_newest ? m_newest->version : 0; }
 
   // Whether the difference to that earlier version can still be told.
@@ -33,13 +33,13 @@
   ConfigChange ChangeFrom(std::uint64_t version) const;
 
  private:
-  const RoutingConfig* FindBefore(std::uint64_t version) const;
+  const RoutingConfig* FindPrevious(std::uint64_t version) const;
 
   static constexpr std::size_t kMaxPreviousVersions = 2;
 
-  Version m_newest;
+  ConfigPtr m_newest;
   // The latest first.
-  std::deque<Version> m_before;
+  std::deque<ConfigPtr> m_previous;
 };
 
 }  // namespace citrongrade
--- a/modules/state/mesh/config_history_test.cc
+++ b/modules/state/mesh/config_history_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-ConfigHistory::Version Version(std::uint64_t version) {
+ConfigHistory::ConfigPtr Version(std::uint64_t version) {
   auto config = std::make_shared<RoutingConfig>();
   config->version = version;
   return config;
--- a/modules/state/mesh/key_slot.h
+++ b/modules/state/mesh/key_slot.h
@@ -31,7 +31,7 @@
     return first <= other.last && other.first <= last;
   }
   // The caller must know that the two overlap.
-  constexpr SlotRange CommonPart(const SlotRange& other) const {
+  constexpr SlotRange Intersection(const SlotRange& other) const {
     return {std::max(first, other.first), std::min(last, other.last)};
   }
   constexpr std::uint32_t first_key() const { return first * kKeysPerSlot; }
--- a/modules/state/mesh/key_table.cc
+++ b/modules/state/mesh/key_table.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-void AppendJoined(std::vector<SlotAssignment>& runs, SlotAssignment run) {
+void AppendMerged(std::vector<SlotAssignment>& runs, SlotAssignment run) {
   if (!runs.empty() && runs.back().SameAssignment(run)) {
     runs.back().range.last = run.range.last;
     runs.back().version = std::max(runs.back().version, run.version);
@@ -70,30 +70,30 @@
   for (std::size_t i = from; i < to; ++i) {
     SlotAssignment& old = m_assignments[i];
     if (!old.range.Overlaps(run.range)) {
-      AppendJoined(changed, std::move(old));
+      AppendMerged(changed, std::move(old));
       continue;
     }
     if (old.range.first < run.range.first) {
       SlotAssignment left = old;
       left.range.last = run.range.first - 1;
-      AppendJoined(changed, std::move(left));
+      AppendMerged(changed, std::move(left));
     }
     if (!placed) {
-      AppendJoined(changed, run);
+      AppendMerged(changed, run);
       placed = true;
     }
     if (old.range.last > run.range.last) {
       SlotAssignment right = old;
       right.range.first = run.range.last + 1;
-      AppendJoined(changed, std::move(right));
+      AppendMerged(changed, std::move(right));
     }
   }
-  Splice(from, to, std::move(changed));
+  ReplaceAssignments(from, to, std::move(changed));
 }
 
-void KeyTable::Splice(std::size_t from,
-                      std::size_t to,
-                      std::vector<SlotAssignment> runs) {
+void KeyTable::ReplaceAssignments(std::size_t from,
+                                  std::size_t to,
+                                  std::vector<SlotAssignment> runs) {
   const auto begin = m_assignments.begin() + static_cast<std::ptrdiff_t>(from);
   const auto end = m_assignments.begin() + static_cast<std::ptrdiff_t>(to);
   const auto common =
--- a/modules/state/mesh/key_table.h
+++ b/modules/state/mesh/key_table.h
@@ -61,9 +61,9 @@
 
  private:
   std::size_t IndexOf(std::uint32_t slot) const;
-  void Splice(std::size_t from,
-              std::size_t to,
-              std::vector<SlotAssignment> runs);
+  void ReplaceAssignments(std::size_t from,
+                          std::size_t to,
+                          std::vector<SlotAssignment> runs);
 
   std::vector<SlotAssignment> m_assignments;
 };
--- a/modules/state/mesh/key_table_test.cc
+++ b/modules/state/mesh/key_table_test.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-SlotAssignment Run(std::uint32_t first,
-                   std::uint32_t last,
-                   const std::string& owner,
-                   std::uint64_t fence) {
+SlotAssignment MakeAssignment(std::uint32_t first,
+                              std::uint32_t last,
+                              const std::string& owner,
+                              std::uint64_t fence) {
   SlotAssignment run;
   run.range = {first, last};
   run.owner = owner;
@@ -33,15 +33,15 @@
 
 TEST_CASE("assigning the middle of a run splits it, and giving it back joins") {
   KeyTable table;
-  table.Assign(Run(0, kSlotCount - 1, "a", 1));
-  table.Assign(Run(100, 199, "b", 2));
+  table.Assign(MakeAssignment(0, kSlotCount - 1, "a", 1));
+  table.Assign(MakeAssignment(100, 199, "b", 2));
   REQUIRE(table.assignments().size() == 3);
   CHECK(table.Find(99).owner == "a");
   CHECK(table.Find(100).owner == "b");
   CHECK(table.Find(199).owner == "b");
   CHECK(table.Find(200).owner == "a");
   CHECK(table.CountOwnedBy("b") == 100);
-  table.Assign(Run(100, 199, "a", 1));
+  table.Assign(MakeAssignment(100, 199, "a", 1));
   CHECK(table.assignments().size() == 1);
 }
 
@@ -56,7 +56,8 @@
     const std::uint32_t first = random() % kSlotCount;
     const std::uint32_t last =
         std::min<std::uint32_t>(kSlotCount - 1, first + random() % 600);
-    table.Assign(Run(first, last, "n" + std::to_string(random() % 5), step));
+    table.Assign(
+        MakeAssignment(first, last, "n" + std::to_string(random() % 5), step));
     for (std::uint32_t slot = first; slot <= last; ++slot)
       fences[slot] = step;
   }
@@ -80,7 +81,7 @@
     const std::uint32_t first = random() % kSlotCount;
     const std::uint32_t last =
         std::min<std::uint32_t>(kSlotCount - 1, first + random() % 600);
-    table.Assign(Run(first, last, "n", random() % 3));
+    table.Assign(MakeAssignment(first, last, "n", random() % 3));
     const std::vector<SlotAssignment>& runs = table.assignments();
     for (std::size_t i = 1; i < runs.size(); ++i)
       REQUIRE(!runs[i - 1].SameAssignment(runs[i]));
@@ -89,9 +90,9 @@
 
 TEST_CASE("the runs of a range are those that have a part of it") {
   KeyTable table;
-  table.Assign(Run(0, 99, "a", 1));
-  table.Assign(Run(100, 199, "b", 2));
-  table.Assign(Run(200, kSlotCount - 1, "c", 3));
+  table.Assign(MakeAssignment(0, 99, "a", 1));
+  table.Assign(MakeAssignment(100, 199, "b", 2));
+  table.Assign(MakeAssignment(200, kSlotCount - 1, "c", 3));
   const auto owners = [&table](const SlotRange& range) {
     std::string found;
     for (const SlotAssignment& run : table.AssignmentsIn(range))
--- a/modules/state/mesh/mesh_view.cc
+++ b/modules/state/mesh/mesh_view.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // What others than its owner need to know of a run.
-SlotAssignment Outline(const SlotAssignment& run) {
+SlotAssignment WithoutOwnerDetails(const SlotAssignment& run) {
   SlotAssignment outline;
   outline.range = run.range;
   outline.owner = run.owner;
@@ -90,7 +90,7 @@
       if (run.version <= known)
         continue;
       delta.assignments.push_back(
-          {service, run.owner == reader ? run : Outline(run)});
+          {service, run.owner == reader ? run : WithoutOwnerDetails(run)});
     }
   }
   return delta;
--- a/modules/state/mesh/mesh_view_test.cc
+++ b/modules/state/mesh/mesh_view_test.cc
@@ -14,9 +14,9 @@
   return member;
 }
 
-SlotAssignment Run(std::uint32_t first,
-                   std::uint32_t last,
-                   std::uint64_t fence) {
+SlotAssignment MakeAssignment(std::uint32_t first,
+                              std::uint32_t last,
+                              std::uint64_t fence) {
   SlotAssignment run;
   run.range = {first, last};
   run.owner = "a";
@@ -32,7 +32,7 @@
   leader.SetMember(Member("a"));
   MeshView node;
   REQUIRE(node.Apply(leader.ChangesSince(node.epoch(), node.version(), "a")));
-  leader.Assign("divided", Run(10, 20, 5));
+  leader.Assign("divided", MakeAssignment(10, 20, 5));
   const ViewDelta delta =
       leader.ChangesSince(node.epoch(), node.version(), "a");
   CHECK_FALSE(delta.is_whole);
@@ -46,7 +46,7 @@
 TEST_CASE("a node gets in full what it owns, and in outline what others own") {
   MeshView leader;
   leader.BeginEpoch(3);
-  SlotAssignment run = Run(10, 20, 5);
+  SlotAssignment run = MakeAssignment(10, 20, 5);
   run.incarnation = {"t", 7};
   run.handover = "token";
   run.next = {"b", {"u", 8}, 6};
--- a/modules/state/mesh_image.h
+++ b/modules/state/mesh_image.h
@@ -9,7 +9,7 @@
 #include "modules/state/member.h"
 #include "modules/state/member_id.h"
 #include "modules/state/service_id.h"
-#include "modules/state/slot_run.h"
+#include "modules/state/owned_slot_range.h"
 #include "modules/state/takeover_history.h"
 
 namespace citrongrade {
@@ -20,7 +20,7 @@
     ServiceId id;
     std::uint32_t slot_count = 0;
     std::uint64_t hash_seed = 0;
-    std::vector<std::pair<SlotRun, Epoch>> runs;
+    std::vector<std::pair<OwnedSlotRange, Epoch>> runs;
 
     friend auto operator<=>(const Service&, const Service&) = default;
   };
--- a/modules/state/mesh_state.cc
+++ b/modules/state/mesh_state.cc
@@ -29,7 +29,7 @@
   return std::adjacent_find(members.begin(), members.end()) != members.end();
 }
 
-bool RunsOverlap(std::vector<SlotRun> runs) {
+bool RangesOverlap(std::vector<OwnedSlotRange> runs) {
   std::sort(runs.begin(), runs.end());
   for (std::size_t i = 1; i < runs.size(); ++i) {
     const std::uint64_t end_of_previous =
@@ -41,15 +41,17 @@
   return false;
 }
 
-void GiveAll(SlotTable& table, const std::vector<SlotRun>& runs, Epoch epoch) {
-  for (const SlotRun& run : runs) {
-    table.Give(run, epoch);
+void AssignAll(SlotTable& table,
+               const std::vector<OwnedSlotRange>& runs,
+               Epoch epoch) {
+  for (const OwnedSlotRange& run : runs) {
+    table.Assign(run, epoch);
   }
 }
 
-std::uint64_t CountSlots(const std::vector<SlotRun>& runs) {
+std::uint64_t CountSlots(const std::vector<OwnedSlotRange>& runs) {
   std::uint64_t count = 0;
-  for (const SlotRun& run : runs) {
+  for (const OwnedSlotRange& run : runs) {
     count += run.count;
   }
   return count;
@@ -71,7 +73,7 @@
   for (const MeshImage::Service& service : image.services) {
     SlotTable table(service.slot_count, service.hash_seed);
     for (const auto& [run, epoch] : service.runs) {
-      table.Give(run, epoch);
+      table.Assign(run, epoch);
     }
     m_services.emplace(service.id, std::move(table));
   }
@@ -124,9 +126,10 @@
 }
 
 bool MeshState::OwnsSlots(const MemberId& id) const {
-  return std::any_of(
-      m_services.begin(), m_services.end(),
-      [&id](const auto& service) { return service.second.CountOf(id) > 0; });
+  return std::any_of(m_services.begin(), m_services.end(),
+                     [&id](const auto& service) {
+                       return service.second.CountOwnedBy(id) > 0;
+                     });
 }
 
 const ConfigEntry* MeshState::FindConfig(ConfigKind kind,
@@ -153,7 +156,7 @@
   image.departed.assign(m_departed.begin(), m_departed.end());
   for (const auto& [id, table] : m_services) {
     image.services.push_back(
-        {id, table.slot_count(), table.hash_seed(), table.Runs()});
+        {id, table.slot_count(), table.hash_seed(), table.OwnedRanges()});
   }
   for (const auto& [key, entry] : m_config) {
     image.config.push_back(entry);
@@ -238,7 +241,7 @@
   }
   member.witnesses = *member.pending_witnesses;
   member.pending_witnesses.reset();
-  ForgetUnreferencedDeparted();
+  RemoveUnreferencedDeparted();
   return Accept();
 }
 
@@ -263,15 +266,15 @@
   return Accept();
 }
 
-ApplyResult MeshState::CheckRuns(
+ApplyResult MeshState::CheckOwnedRanges(
     const ServiceId& service,
     const SlotTable& table,
-    const std::vector<SlotRun>& runs,
+    const std::vector<OwnedSlotRange>& runs,
     const std::optional<MemberId>& owner_before) const {
-  if (RunsOverlap(runs)) {
+  if (RangesOverlap(runs)) {
     return Reject(RejectReason::kBadSlots);
   }
-  for (const SlotRun& run : runs) {
+  for (const OwnedSlotRange& run : runs) {
     if (!table.Contains(run)) {
       return Reject(RejectReason::kBadSlots);
     }
@@ -300,12 +303,12 @@
     return Reject(RejectReason::kBadSlots);
   }
   ApplyResult runs =
-      CheckRuns(record.service, table, record.runs, std::nullopt);
+      CheckOwnedRanges(record.service, table, record.runs, std::nullopt);
   if (!runs.accepted()) {
     return runs;
   }
   const auto placed = m_services.try_emplace(record.service, table);
-  GiveAll(placed.first->second, record.runs, Epoch(offset.value()));
+  AssignAll(placed.first->second, record.runs, Epoch(offset.value()));
   return Accept();
 }
 
@@ -319,17 +322,17 @@
     return Reject(RejectReason::kBadSlots);
   }
   ApplyResult runs =
-      CheckRuns(record.service, found->second, record.runs, record.from);
+      CheckOwnedRanges(record.service, found->second, record.runs, record.from);
   if (!runs.accepted()) {
     return runs;
   }
   const Epoch as_of(record.as_of.value());
-  for (const SlotRun& run : record.runs) {
+  for (const OwnedSlotRange& run : record.runs) {
     if (found->second.LatestEpoch(run) >= as_of) {
       return Reject(RejectReason::kStaleVersion);
     }
   }
-  GiveAll(found->second, record.runs, Epoch(offset.value()));
+  AssignAll(found->second, record.runs, Epoch(offset.value()));
   RemoveSupersededWithoutSlots(record.from.node);
   return Accept();
 }
@@ -351,20 +354,20 @@
   const auto found = m_services.find(record.service);
   const bool has_slots = found != m_services.end();
   const std::uint32_t owned =
-      has_slots ? found->second.CountOf(record.lost) : 0;
+      has_slots ? found->second.CountOwnedBy(record.lost) : 0;
   if (CountSlots(record.runs) != owned) {
     return Reject(RejectReason::kBadSlots);
   }
   const Epoch epoch(offset.value());
   if (has_slots) {
-    ApplyResult runs =
-        CheckRuns(record.service, found->second, record.runs, record.lost);
+    ApplyResult runs = CheckOwnedRanges(record.service, found->second,
+                                        record.runs, record.lost);
     if (!runs.accepted()) {
       return runs;
     }
-    GiveAll(found->second, record.runs, epoch);
+    AssignAll(found->second, record.runs, epoch);
   }
-  RememberTakeover(epoch, *lost, record.service);
+  AddTakeoverHistory(epoch, *lost, record.service);
   RemoveMember(record.lost);
   return Accept();
 }
@@ -493,7 +496,7 @@
                           before.boot_id == now.boot_id &&
                           before.peer_address == now.peer_address;
   return same_place && std::all_of(record.runs.begin(), record.runs.end(),
-                                   [later](const SlotRun& run) {
+                                   [later](const OwnedSlotRange& run) {
                                      return run.owner == later->id;
                                    });
 }
@@ -511,7 +514,7 @@
       }
     }
   }
-  ForgetUnreferencedDeparted();
+  RemoveUnreferencedDeparted();
 }
 
 void MeshState::RemoveSupersededWithoutSlots(const NodeId& node) {
@@ -526,7 +529,7 @@
   }
 }
 
-void MeshState::ForgetUnreferencedDeparted() {
+void MeshState::RemoveUnreferencedDeparted() {
   if (m_departed.empty()) {
     return;
   }
@@ -547,9 +550,9 @@
   });
 }
 
-void MeshState::RememberTakeover(Epoch epoch,
-                                 const Member& lost,
-                                 const ServiceId& service) {
+void MeshState::AddTakeoverHistory(Epoch epoch,
+                                   const Member& lost,
+                                   const ServiceId& service) {
   TakeoverHistory history{epoch, lost.id, service, {lost.witnesses}};
   if (lost.pending_witnesses.has_value()) {
     history.witness_sets.push_back(*lost.pending_witnesses);
--- a/modules/state/mesh_state.h
+++ b/modules/state/mesh_state.h
@@ -98,10 +98,11 @@
                             const MemberId& new_owner) const;
   // Whether all runs may go from `owner_before` (nobody when empty) to the
   // owners that they name.
-  ApplyResult CheckRuns(const ServiceId& service,
-                        const SlotTable& table,
-                        const std::vector<SlotRun>& runs,
-                        const std::optional<MemberId>& owner_before) const;
+  ApplyResult CheckOwnedRanges(
+      const ServiceId& service,
+      const SlotTable& table,
+      const std::vector<OwnedSlotRange>& runs,
+      const std::optional<MemberId>& owner_before) const;
   ApplyResult CheckTestimonies(const Member& lost,
                                const TakeoverRecord& record) const;
   // `testimony` is the word of a witness of `set` on this very set.
@@ -114,10 +115,10 @@
   bool IsRestartInPlace(const Member& lost, const TakeoverRecord& record) const;
   void RemoveMember(const MemberId& id);
   void RemoveSupersededWithoutSlots(const NodeId& node);
-  void ForgetUnreferencedDeparted();
-  void RememberTakeover(Epoch epoch,
-                        const Member& lost,
-                        const ServiceId& service);
+  void RemoveUnreferencedDeparted();
+  void AddTakeoverHistory(Epoch epoch,
+                          const Member& lost,
+                          const ServiceId& service);
 
   const ConfigValidator* m_validator;
   LogOffset m_next_offset{1};
--- a/modules/state/mesh_state_test.cc
+++ b/modules/state/mesh_state_test.cc
@@ -55,7 +55,7 @@
     return version;
   }
 
-  ApplyResult Assign(std::vector<SlotRun> runs) {
+  ApplyResult Assign(std::vector<OwnedSlotRange> runs) {
     return Append(AssignRecord{kService, kSlotCount, 0, std::move(runs)});
   }
 
@@ -64,7 +64,7 @@
   MeshState m_state{m_validator};
 };
 
-SlotRun AllSlotsTo(const MemberId& member) {
+OwnedSlotRange AllSlotsTo(const MemberId& member) {
   return {SlotIndex(0), kSlotCount, member};
 }
 
@@ -106,7 +106,7 @@
   log.GiveWitnesses(b, {a});
   CHECK(log.Assign({AllSlotsTo(a)}).accepted());
   CHECK(log.Assign({AllSlotsTo(b)}).rejected == RejectReason::kNotOwner);
-  CHECK(log.state().FindSlots(kService)->CountOf(a) == kSlotCount);
+  CHECK(log.state().FindSlots(kService)->CountOwnedBy(a) == kSlotCount);
 }
 
 TEST_CASE("an assignment is taken whole or not at all") {
@@ -276,7 +276,7 @@
 
 TEST_CASE("a transfer is valid from the owner only, and to a current member") {
   OwnedMesh mesh;
-  const SlotRun to_b{SlotIndex(3), 2, mesh.b};
+  const OwnedSlotRange to_b{SlotIndex(3), 2, mesh.b};
   const LogOffset now = mesh.log.state().next_offset();
   CHECK(
       mesh.log.Append(TransferRecord{mesh.c, kService, now, {to_b}}).rejected ==
@@ -287,7 +287,7 @@
             .rejected == RejectReason::kNotOwner);
 
   mesh.log.Join("c");
-  const SlotRun to_old_c{SlotIndex(0), 1, mesh.c};
+  const OwnedSlotRange to_old_c{SlotIndex(0), 1, mesh.c};
   CHECK(mesh.log.Append(TransferRecord{mesh.owner, kService, now, {to_old_c}})
             .rejected == RejectReason::kUnknownMember);
 }
@@ -298,8 +298,8 @@
   // would take the slot from an owner that serves it.
   OwnedMesh mesh;
   const LogOffset before = mesh.log.state().next_offset();
-  const SlotRun to_b{SlotIndex(3), 2, mesh.b};
-  const SlotRun back{SlotIndex(3), 2, mesh.owner};
+  const OwnedSlotRange to_b{SlotIndex(3), 2, mesh.b};
+  const OwnedSlotRange back{SlotIndex(3), 2, mesh.owner};
   const TransferRecord late{mesh.owner, kService, before, {to_b}};
   REQUIRE(mesh.log.Append(late).accepted());
   const LogOffset then = mesh.log.state().next_offset();
--- a/modules/state/slot_run.h
+++ b/modules/state/owned_slot_range.h
@@ -9,12 +9,13 @@
 namespace citrongrade {
 
 // `count` neighbouring slots, from `first` on, that go to `owner`.
-struct SlotRun {
+struct OwnedSlotRange {
   SlotIndex first;
   std::uint32_t count = 0;
   MemberId owner;
 
-  friend auto operator<=>(const SlotRun&, const SlotRun&) = default;
+  friend auto operator<=>(const OwnedSlotRange&,
+                          const OwnedSlotRange&) = default;
 };
 
 }  // namespace citrongrade
--- a/modules/state/records/assign_record.h
+++ b/modules/state/records/assign_record.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "modules/state/service_id.h"
-#include "modules/state/slot_run.h"
+#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
@@ -16,7 +16,7 @@
   // first accepted record; a later record has to repeat them.
   std::uint32_t slot_count = 0;
   std::uint64_t hash_seed = 0;
-  std::vector<SlotRun> runs;
+  std::vector<OwnedSlotRange> runs;
 
   friend auto operator<=>(const AssignRecord&, const AssignRecord&) = default;
 };
--- a/modules/state/records/takeover_record.h
+++ b/modules/state/records/takeover_record.h
@@ -6,7 +6,7 @@
 #include "modules/state/member_id.h"
 #include "modules/state/records/testimony.h"
 #include "modules/state/service_id.h"
-#include "modules/state/slot_run.h"
+#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
@@ -18,7 +18,7 @@
   MemberId lost;
   ServiceId service;
   std::vector<Testimony> testimonies;
-  std::vector<SlotRun> runs;
+  std::vector<OwnedSlotRange> runs;
 
   friend auto operator<=>(const TakeoverRecord&,
                           const TakeoverRecord&) = default;
--- a/modules/state/records/transfer_record.h
+++ b/modules/state/records/transfer_record.h
@@ -6,7 +6,7 @@
 #include "modules/state/identifiers.h"
 #include "modules/state/member_id.h"
 #include "modules/state/service_id.h"
-#include "modules/state/slot_run.h"
+#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
@@ -19,7 +19,7 @@
   // to it since has a later epoch, and the record is stale: else an append that
   // lands late would take a slot from an owner that serves it.
   LogOffset as_of;
-  std::vector<SlotRun> runs;
+  std::vector<OwnedSlotRange> runs;
 
   friend auto operator<=>(const TransferRecord&,
                           const TransferRecord&) = default;
--- a/modules/state/slot_table.cc
+++ b/modules/state/slot_table.cc
@@ -42,17 +42,17 @@
   return slots;
 }
 
-std::uint32_t SlotTable::CountOf(const MemberId& member) const {
+std::uint32_t SlotTable::CountOwnedBy(const MemberId& member) const {
   const OwnerIndex owner = FindOwner(member);
   return owner == kUnowned ? 0 : m_owners[owner].slot_count;
 }
 
-bool SlotTable::Contains(const SlotRun& run) const {
+bool SlotTable::Contains(const OwnedSlotRange& run) const {
   const std::uint64_t end = std::uint64_t{run.first.value()} + run.count;
   return run.count > 0 && end <= m_slot_count;
 }
 
-bool SlotTable::IsOwnedBy(const SlotRun& run,
+bool SlotTable::IsOwnedBy(const OwnedSlotRange& run,
                           const std::optional<MemberId>& owner) const {
   OwnerIndex expected = kUnowned;
   if (owner.has_value()) {
@@ -67,12 +67,12 @@
   });
 }
 
-Epoch SlotTable::LatestEpoch(const SlotRun& run) const {
+Epoch SlotTable::LatestEpoch(const OwnedSlotRange& run) const {
   const auto begin = m_epoch_of_slot.begin() + run.first.value();
   return *std::max_element(begin, begin + run.count);
 }
 
-void SlotTable::Give(const SlotRun& run, Epoch epoch) {
+void SlotTable::Assign(const OwnedSlotRange& run, Epoch epoch) {
   const OwnerIndex owner = FindOrAddOwner(run.owner);
   const std::uint32_t end = run.first.value() + run.count;
   for (std::uint32_t slot = run.first.value(); slot < end; ++slot) {
@@ -87,8 +87,8 @@
   }
 }
 
-std::vector<std::pair<SlotRun, Epoch>> SlotTable::Runs() const {
-  std::vector<std::pair<SlotRun, Epoch>> runs;
+std::vector<std::pair<OwnedSlotRange, Epoch>> SlotTable::OwnedRanges() const {
+  std::vector<std::pair<OwnedSlotRange, Epoch>> runs;
   for (std::uint32_t slot = 0; slot < m_slot_count; ++slot) {
     const OwnerIndex owner = m_owner_of_slot[slot];
     if (owner == kUnowned) {
@@ -96,7 +96,7 @@
     }
     const Epoch epoch = m_epoch_of_slot[slot];
     if (!runs.empty()) {
-      SlotRun& last = runs.back().first;
+      OwnedSlotRange& last = runs.back().first;
       const bool follows = last.first.value() + last.count == slot;
       const bool alike =
           last.owner == m_owners[owner].member && runs.back().second == epoch;
@@ -105,8 +105,8 @@
         continue;
       }
     }
-    runs.emplace_back(SlotRun{SlotIndex(slot), 1, m_owners[owner].member},
-                      epoch);
+    runs.emplace_back(
+        OwnedSlotRange{SlotIndex(slot), 1, m_owners[owner].member}, epoch);
   }
   return runs;
 }
--- a/modules/state/slot_table.h
+++ b/modules/state/slot_table.h
@@ -11,7 +11,7 @@
 #include "modules/state/identifiers.h"
 #include "modules/state/member_id.h"
 #include "modules/state/slot_ownership.h"
-#include "modules/state/slot_run.h"
+#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
@@ -32,27 +32,28 @@
 
   // Slots of one member in ascending order.
   std::vector<SlotIndex> SlotsOf(const MemberId& member) const;
-  std::uint32_t CountOf(const MemberId& member) const;
+  std::uint32_t CountOwnedBy(const MemberId& member) const;
   std::uint32_t UnownedCount() const { return m_unowned_count; }
 
   // Every slot of the run exists.
-  bool Contains(const SlotRun& run) const;
+  bool Contains(const OwnedSlotRange& run) const;
   // Every slot of the run is owned by `owner`; by nobody for an empty optional.
-  bool IsOwnedBy(const SlotRun& run,
+  bool IsOwnedBy(const OwnedSlotRange& run,
                  const std::optional<MemberId>& owner) const;
 
   // The latest epoch among the run's slots.
-  Epoch LatestEpoch(const SlotRun& run) const;
+  Epoch LatestEpoch(const OwnedSlotRange& run) const;
 
-  void Give(const SlotRun& run, Epoch epoch);
+  void Assign(const OwnedSlotRange& run, Epoch epoch);
   void Release(const MemberId& member);
 
   // All owned slots as runs of equal owner and epoch, for snapshots.
-  std::vector<std::pair<SlotRun, Epoch>> Runs() const;
+  std::vector<std::pair<OwnedSlotRange, Epoch>> OwnedRanges() const;
 
   friend bool operator==(const SlotTable& left, const SlotTable& right) {
     return left.m_slot_count == right.m_slot_count &&
-           left.m_hash_seed == right.m_hash_seed && left.Runs() == right.Runs();
+           left.m_hash_seed == right.m_hash_seed &&
+           left.OwnedRanges() == right.OwnedRanges();
   }
 
  private:
--- a/modules/state/slot_table_test.cc
+++ b/modules/state/slot_table_test.cc
@@ -32,16 +32,16 @@
 
 TEST_CASE("runs of equal owner and epoch come back as they were given") {
   SlotTable table(10, 0);
-  table.Give({SlotIndex(0), 4, kFirst}, Epoch(5));
-  table.Give({SlotIndex(4), 3, kSecond}, Epoch(5));
-  table.Give({SlotIndex(2), 1, kSecond}, Epoch(6));
+  table.Assign({SlotIndex(0), 4, kFirst}, Epoch(5));
+  table.Assign({SlotIndex(4), 3, kSecond}, Epoch(5));
+  table.Assign({SlotIndex(2), 1, kSecond}, Epoch(6));
 
-  CHECK(table.CountOf(kFirst) == 3);
-  CHECK(table.CountOf(kSecond) == 4);
+  CHECK(table.CountOwnedBy(kFirst) == 3);
+  CHECK(table.CountOwnedBy(kSecond) == 4);
   CHECK(table.UnownedCount() == 3);
   CHECK(table.OwnerOf(SlotIndex(2)) == SlotOwnership{kSecond, Epoch(6)});
   CHECK_FALSE(table.OwnerOf(SlotIndex(9)).has_value());
-  CHECK(table.Runs().size() == 4);
+  CHECK(table.OwnedRanges().size() == 4);
 }
 
 TEST_CASE("a run beyond the last slot is not contained, nor is an empty one") {
@@ -56,14 +56,14 @@
   // A mesh that restarts for years must not slow down: a member whose slots are
   // all gone gives its place to the next, and the slots of others stay theirs.
   SlotTable table(4, 0);
-  table.Give({SlotIndex(0), 1, kFirst}, Epoch(1));
+  table.Assign({SlotIndex(0), 1, kFirst}, Epoch(1));
   for (std::uint64_t life = 2; life < 100; ++life) {
     const MemberId member{NodeId("b"), Incarnation(life)};
-    table.Give({SlotIndex(1), 3, member}, Epoch(life));
-    CHECK(table.CountOf(member) == 3);
-    CHECK(table.CountOf({NodeId("b"), Incarnation(life - 1)}) == 0);
+    table.Assign({SlotIndex(1), 3, member}, Epoch(life));
+    CHECK(table.CountOwnedBy(member) == 3);
+    CHECK(table.CountOwnedBy({NodeId("b"), Incarnation(life - 1)}) == 0);
   }
-  CHECK(table.CountOf(kFirst) == 1);
+  CHECK(table.CountOwnedBy(kFirst) == 1);
 }
 
 }  // namespace citrongrade
--- a/modules/transport/async/async_connection_pool.cc
+++ b/modules/transport/async/async_connection_pool.cc
@@ -9,7 +9,7 @@
 
 // A connection is given up so long before its peer would close it, as a request
 // that crosses the close can't be proved not to have run.
-constexpr std::chrono::milliseconds kBeforePeerCloses{1000};
+constexpr std::chrono::milliseconds kPeerKeepAliveMargin{1000};
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 
 AsyncConnectionPool::~AsyncConnectionPool() = default;
 
-Task<std::unique_ptr<AsyncHttpConnection>> AsyncConnectionPool::Take(
+Task<std::unique_ptr<AsyncHttpConnection>> AsyncConnectionPool::Acquire(
     HttpAddress address,
     Clock::Duration max_idle) {
   std::vector<Idle>& idle = m_idle[address];
@@ -36,7 +36,7 @@
     if (now < last.expires && !last.connection->IsStale())
       co_return std::move(last.connection);
   }
-  ++m_opened;
+  ++m_opened_count;
   co_return co_await AsyncHttpConnection::Open(m_loop, address,
                                                m_settings.connect_timeout);
 }
@@ -50,27 +50,28 @@
          }) > 0;
 }
 
-void AsyncConnectionPool::GiveBack(
+void AsyncConnectionPool::Release(
     const HttpAddress& address,
     std::unique_ptr<AsyncHttpConnection> connection) {
   if (!connection->is_reusable())
     return;
   const Clock::TimePoint now = m_clock.Now();
-  Clock::Duration keep_for = m_settings.keep_for;
+  Clock::Duration keep_for = m_settings.idle_timeout;
   if (connection->peer_keep_alive() > Clock::Duration(0)) {
     keep_for = std::min<Clock::Duration>(
-        keep_for, connection->peer_keep_alive() - kBeforePeerCloses);
+        keep_for, connection->peer_keep_alive() - kPeerKeepAliveMargin);
   }
   std::vector<Idle>& idle = m_idle[address];
-  if (keep_for > Clock::Duration(0) && idle.size() < m_settings.max_idle_each)
+  if (keep_for > Clock::Duration(0) &&
+      idle.size() < m_settings.max_idle_per_address)
     idle.push_back({std::move(connection), now, now + keep_for});
 }
 
-void AsyncConnectionPool::Forget(const HttpAddress& address) {
+void AsyncConnectionPool::CloseIdle(const HttpAddress& address) {
   m_idle.erase(address);
 }
 
-void AsyncConnectionPool::Sweep() {
+void AsyncConnectionPool::CloseExpired() {
   const Clock::TimePoint now = m_clock.Now();
   for (auto& [address, idle] : m_idle)
     std::erase_if(idle, [now](const Idle& one) { return now >= one.expires; });
--- a/modules/transport/async/async_connection_pool.h
+++ b/modules/transport/async/async_connection_pool.h
@@ -17,9 +17,9 @@
 class AsyncConnectionPool {
  public:
   struct Settings {
-    std::size_t max_idle_each = 32;
+    std::size_t max_idle_per_address = 32;
     // Well below the time after which peers close idle connections.
-    Clock::Duration keep_for = std::chrono::seconds(5);
+    Clock::Duration idle_timeout = std::chrono::seconds(5);
     Clock::Duration connect_timeout = std::chrono::milliseconds(500);
   };
 
@@ -30,19 +30,19 @@
 
   // The most lately used one that was idle for no longer than `max_idle`, or a
   // new one. Throws ConnectRefusedError, ConnectError.
-  Task<std::unique_ptr<AsyncHttpConnection>> Take(HttpAddress address,
-                                                  Clock::Duration max_idle);
+  Task<std::unique_ptr<AsyncHttpConnection>> Acquire(HttpAddress address,
+                                                     Clock::Duration max_idle);
   // Keeps it if it is reusable, else closes it.
-  void GiveBack(const HttpAddress& address,
-                std::unique_ptr<AsyncHttpConnection> connection);
+  void Release(const HttpAddress& address,
+               std::unique_ptr<AsyncHttpConnection> connection);
   // Drops those that the peer has closed meanwhile; true when there were any.
   bool DropClosed(const HttpAddress& address);
   // The process behind the address is another one now, or gone.
-  void Forget(const HttpAddress& address);
+  void CloseIdle(const HttpAddress& address);
   // Closes what was idle for too long.
-  void Sweep();
+  void CloseExpired();
 
-  std::uint64_t opened() const { return m_opened; }
+  std::uint64_t opened_count() const { return m_opened_count; }
 
  private:
   struct Idle {
@@ -55,7 +55,7 @@
   const Clock& m_clock;
   const Settings m_settings;
   std::map<HttpAddress, std::vector<Idle>> m_idle;
-  std::uint64_t m_opened = 0;
+  std::uint64_t m_opened_count = 0;
 };
 
 }  // namespace citrongrade
--- a/modules/transport/async/async_http_connection.cc
+++ b/modules/transport/async/async_http_connection.cc
@@ -36,34 +36,34 @@
 constexpr unsigned kHttpVersion = 11;
 constexpr int kFirstFinalStatus = 200;
 constexpr int kContinue = 100;
-constexpr std::uint64_t kMaxAnswerBytes = std::uint64_t{16} << 20U;
-constexpr std::uint32_t kMaxHeadBytes = 32 * 1024;
+constexpr std::uint64_t kMaxResponseBodyBytes = std::uint64_t{16} << 20U;
+constexpr std::uint32_t kMaxResponseHeaderBytes = 32 * 1024;
 // Bytes that the peer's host does not confirm for so long: the connection was
 // lost on the way, and without this it would hold a call to its timeout.
-constexpr unsigned kUnconfirmedMs = 3000;
+constexpr unsigned kTcpUserTimeoutMs = 3000;
 
 using Parser = http::response_parser<http::string_body>;
 
 // How a call differs from a plain one.
-struct CallTerms {
-  AsyncHttpConnection::IsAnswer is_answer;
+struct CallOptions {
+  AsyncHttpConnection::IsMatchingResponse is_matching_response;
   // Of each piece of the answer but the first; zero: the call's timeout is for
   // all of it.
-  Clock::Duration next_timeout{0};
+  Clock::Duration progress_timeout{0};
   // The body is sent once the peer has asked for it.
-  bool asks_first = false;
+  bool expects_continue = false;
 };
 
-struct Outgoing {
+struct OutgoingRequest {
   http::request<http::string_body> message;
   // Where the body waits for the peer to ask for it.
-  std::optional<http::request_serializer<http::string_body>> rest;
+  std::optional<http::request_serializer<http::string_body>> pending_body;
   bool is_written = false;
 };
 
-std::shared_ptr<Outgoing> MakeOutgoing(HttpRequest request,
-                                       const std::string& host) {
-  auto outgoing = std::make_shared<Outgoing>();
+std::shared_ptr<OutgoingRequest> MakeOutgoingRequest(HttpRequest request,
+                                                     const std::string& host) {
+  auto outgoing = std::make_shared<OutgoingRequest>();
   auto& message = outgoing->message;
   message.version(kHttpVersion);
   message.method_string(request.method);
@@ -91,7 +91,7 @@
   return response;
 }
 
-std::chrono::seconds KeepAliveOf(const HttpResponse& response) {
+std::chrono::seconds ParseKeepAliveTimeout(const HttpResponse& response) {
   constexpr std::string_view kTimeout = "timeout=";
   const auto header = response.head.Header("Keep-Alive");
   if (!header)
@@ -136,30 +136,30 @@
   Task<> Connect(Clock::Duration timeout);
   Task<HttpResponse> Call(HttpRequest request,
                           Clock::Duration timeout,
-                          CallTerms terms);
+                          CallOptions terms);
   void Close() {
-    m_is_usable = false;
+    m_is_reusable = false;
     m_stream.close();
   }
-  bool is_reusable() const { return m_is_usable; }
+  bool is_reusable() const { return m_is_reusable; }
   bool IsStale() const;
   Clock::Duration peer_keep_alive() const { return m_peer_keep_alive; }
 
  private:
-  Task<> WriteHead(std::shared_ptr<Outgoing> outgoing);
+  Task<> WriteHead(std::shared_ptr<OutgoingRequest> outgoing);
   // All of it, or what WriteHead() has left.
-  void Write(const std::shared_ptr<Outgoing>& outgoing);
-  Task<HttpResponse> ReadOne(std::shared_ptr<Outgoing> outgoing,
-                             Clock::Duration next_timeout);
-  Task<> ReadInPieces(Parser& parser,
-                      Clock::Duration next_timeout,
-                      boost::system::error_code& error);
+  void StartWrite(const std::shared_ptr<OutgoingRequest>& outgoing);
+  Task<HttpResponse> ReadResponse(std::shared_ptr<OutgoingRequest> outgoing,
+                                  Clock::Duration next_timeout);
+  Task<> ReadWithProgressTimeout(Parser& parser,
+                                 Clock::Duration next_timeout,
+                                 boost::system::error_code& error);
 
   const std::string m_host;
   const tcp::endpoint m_endpoint;
   beast::tcp_stream m_stream;
   beast::flat_buffer m_buffer;
-  bool m_is_usable = false;
+  bool m_is_reusable = false;
   bool m_peer_keeps_open = false;
   Clock::Duration m_peer_keep_alive{0};
 };
@@ -181,11 +181,11 @@
   // wanted is lost: a connection is only closed when idle or given up.
   m_stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
   setsockopt(m_stream.socket().native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
-             &kUnconfirmedMs, sizeof(kUnconfirmedMs));
-  m_is_usable = true;
+             &kTcpUserTimeoutMs, sizeof(kTcpUserTimeoutMs));
+  m_is_reusable = true;
 }
 
-Task<> AsyncHttpConnection::Implementation::ReadInPieces(
+Task<> AsyncHttpConnection::Implementation::ReadWithProgressTimeout(
     Parser& parser,
     Clock::Duration next_timeout,
     boost::system::error_code& error) {
@@ -199,41 +199,41 @@
 }
 
 Task<> AsyncHttpConnection::Implementation::WriteHead(
-    std::shared_ptr<Outgoing> outgoing) {
+    std::shared_ptr<OutgoingRequest> outgoing) {
   outgoing->message.set(http::field::expect, "100-continue");
-  outgoing->rest.emplace(outgoing->message);
+  outgoing->pending_body.emplace(outgoing->message);
   boost::system::error_code error;
   co_await http::async_write_header(
-      m_stream, *outgoing->rest,
+      m_stream, *outgoing->pending_body,
       asio::redirect_error(asio::use_awaitable, error));
   if (error)
     ThrowReadError(error, false, m_host);
 }
 
-void AsyncHttpConnection::Implementation::Write(
-    const std::shared_ptr<Outgoing>& outgoing) {
+void AsyncHttpConnection::Implementation::StartWrite(
+    const std::shared_ptr<OutgoingRequest>& outgoing) {
   auto on_written = [self = shared_from_this(), outgoing](
                         const boost::system::error_code& error,
                         std::size_t /*bytes*/) {
     outgoing->is_written = !error;
   };
-  if (outgoing->rest)
-    http::async_write(m_stream, *outgoing->rest, std::move(on_written));
+  if (outgoing->pending_body)
+    http::async_write(m_stream, *outgoing->pending_body, std::move(on_written));
   else
     http::async_write(m_stream, outgoing->message, std::move(on_written));
 }
 
-Task<HttpResponse> AsyncHttpConnection::Implementation::ReadOne(
-    std::shared_ptr<Outgoing> outgoing,
+Task<HttpResponse> AsyncHttpConnection::Implementation::ReadResponse(
+    std::shared_ptr<OutgoingRequest> outgoing,
     Clock::Duration next_timeout) {
   bool is_asked = false;
   while (true) {
     Parser parser;
-    parser.body_limit(kMaxAnswerBytes);
-    parser.header_limit(kMaxHeadBytes);
+    parser.body_limit(kMaxResponseBodyBytes);
+    parser.header_limit(kMaxResponseHeaderBytes);
     boost::system::error_code error;
     if (next_timeout > Clock::Duration(0)) {
-      co_await ReadInPieces(parser, next_timeout, error);
+      co_await ReadWithProgressTimeout(parser, next_timeout, error);
     } else {
       co_await http::async_read(
           m_stream, m_buffer, parser,
@@ -241,9 +241,10 @@
     }
     if (error)
       ThrowReadError(error, parser.got_some(), m_host);
-    if (parser.get().result_int() == kContinue && outgoing->rest && !is_asked) {
+    if (parser.get().result_int() == kContinue && outgoing->pending_body &&
+        !is_asked) {
       is_asked = true;
-      Write(outgoing);
+      StartWrite(outgoing);
     }
     if (parser.get().result_int() < kFirstFinalStatus)
       continue;
@@ -255,34 +256,35 @@
 Task<HttpResponse> AsyncHttpConnection::Implementation::Call(
     HttpRequest request,
     Clock::Duration timeout,
-    CallTerms terms) {
+    CallOptions terms) {
   // Opening the connection, or a pause of the process, may have taken all the
   // time. Sent now it would arrive when its sender has given it up: a grant
   // would hold keys that are another's by then.
   if (timeout <= Clock::Duration(0))
     throw ResponseTimeoutError(m_host + ": no time is left");
-  const std::shared_ptr<Outgoing> outgoing =
-      MakeOutgoing(std::move(request), m_host);
-  m_is_usable = false;
+  const std::shared_ptr<OutgoingRequest> outgoing =
+      MakeOutgoingRequest(std::move(request), m_host);
+  m_is_reusable = false;
   m_stream.expires_after(timeout);
-  if (terms.asks_first)
+  if (terms.expects_continue)
     co_await WriteHead(outgoing);
   else
-    Write(outgoing);
+    StartWrite(outgoing);
   bool was_exact = true;
   while (true) {
-    HttpResponse response = co_await ReadOne(outgoing, terms.next_timeout);
-    if (terms.is_answer && !terms.is_answer(response)) {
+    HttpResponse response =
+        co_await ReadResponse(outgoing, terms.progress_timeout);
+    if (terms.is_matching_response && !terms.is_matching_response(response)) {
       was_exact = false;
       if (!m_peer_keeps_open)
         throw ConnectionClosedError(m_host + ": closed after another answer");
       continue;
     }
-    m_peer_keep_alive = KeepAliveOf(response);
-    m_is_usable = was_exact && outgoing->is_written && m_peer_keeps_open &&
-                  m_buffer.size() == 0 && m_stream.socket().is_open();
+    m_peer_keep_alive = ParseKeepAliveTimeout(response);
+    m_is_reusable = was_exact && outgoing->is_written && m_peer_keeps_open &&
+                    m_buffer.size() == 0 && m_stream.socket().is_open();
     m_stream.expires_never();
-    if (!m_is_usable)
+    if (!m_is_reusable)
       m_stream.close();
     co_return response;
   }
@@ -291,7 +293,7 @@
 bool AsyncHttpConnection::Implementation::IsStale() const {
   const int handle =
       const_cast<beast::tcp_stream&>(m_stream).socket().native_handle();
-  return ProbeSocket(handle) != SocketState::kQuiet;
+  return ProbeSocket(handle) != SocketState::kIdle;
 }
 
 AsyncHttpConnection::AsyncHttpConnection(
@@ -314,29 +316,29 @@
 
 Task<HttpResponse> AsyncHttpConnection::Call(HttpRequest request,
                                              Clock::Duration timeout,
-                                             IsAnswer is_answer) {
+                                             IsMatchingResponse is_answer) {
   const auto implementation = m_implementation;
-  CallTerms terms;
-  terms.is_answer = std::move(is_answer);
+  CallOptions terms;
+  terms.is_matching_response = std::move(is_answer);
   co_return co_await implementation->Call(std::move(request), timeout, terms);
 }
 
-Task<HttpResponse> AsyncHttpConnection::CallAskingFirst(
+Task<HttpResponse> AsyncHttpConnection::CallExpectingContinue(
     HttpRequest request,
     Clock::Duration timeout) {
   const auto implementation = m_implementation;
-  CallTerms terms;
-  terms.asks_first = true;
+  CallOptions terms;
+  terms.expects_continue = true;
   co_return co_await implementation->Call(std::move(request), timeout, terms);
 }
 
-Task<HttpResponse> AsyncHttpConnection::CallForLongAnswer(
+Task<HttpResponse> AsyncHttpConnection::CallWithProgressTimeout(
     HttpRequest request,
     Clock::Duration first_timeout,
     Clock::Duration next_timeout) {
   const auto implementation = m_implementation;
-  CallTerms terms;
-  terms.next_timeout = next_timeout;
+  CallOptions terms;
+  terms.progress_timeout = next_timeout;
   co_return co_await implementation->Call(std::move(request), first_timeout,
                                           terms);
 }
--- a/modules/transport/async/async_http_connection.h
+++ b/modules/transport/async/async_http_connection.h
@@ -22,7 +22,7 @@
  public:
   // Whether a response is the answer to the request in hand. A peer may send a
   // second answer to an earlier request; that one is skipped.
-  using IsAnswer = std::function<bool(const HttpResponse&)>;
+  using IsMatchingResponse = std::function<bool(const HttpResponse&)>;
 
   // Throws ConnectRefusedError when nobody listens there, else ConnectError.
   static Task<std::unique_ptr<AsyncHttpConnection>> Open(
@@ -41,18 +41,18 @@
   // left nothing is sent.
   Task<HttpResponse> Call(HttpRequest request,
                           Clock::Duration timeout,
-                          IsAnswer is_answer = nullptr);
+                          IsMatchingResponse is_answer = nullptr);
   // The same, but the body is sent only when the peer asks for it; it may
   // answer instead.
-  Task<HttpResponse> CallAskingFirst(HttpRequest request,
-                                     Clock::Duration timeout);
+  Task<HttpResponse> CallExpectingContinue(HttpRequest request,
+                                           Clock::Duration timeout);
 
   // The same for an answer that may be long: its first bytes have to come
   // within `first_timeout`, each next ones within `next_timeout`. So the time
   // it takes is bounded by whether it moves on, not by its length.
-  Task<HttpResponse> CallForLongAnswer(HttpRequest request,
-                                       Clock::Duration first_timeout,
-                                       Clock::Duration next_timeout);
+  Task<HttpResponse> CallWithProgressTimeout(HttpRequest request,
+                                             Clock::Duration first_timeout,
+                                             Clock::Duration next_timeout);
 
   // Makes a call that waits fail at once: the peer sees its connection reset,
   // and what is still on its way does not arrive.
--- a/modules/transport/async/async_http_server.cc
+++ b/modules/transport/async/async_http_server.cc
@@ -42,11 +42,11 @@
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
 // Accepting failed for want of descriptors or memory: some come free meanwhile.
-constexpr std::chrono::milliseconds kAcceptPause{50};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 // Requests of one connection that are served at the same time. Callers that
 // send some ahead send a few; more would let one connection hold answers
 // without bound behind a slow one.
-constexpr std::size_t kMostOverlapping = 8;
+constexpr std::size_t kMaxPipelinedRequests = 8;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 using Parser = http::request_parser<http::string_body>;
@@ -105,7 +105,7 @@
         m_acceptor(loop) {}
 
   void Listen();
-  void StopKeeping() { m_keeps = false; }
+  void DisableKeepAlive() { m_is_keep_alive_enabled = false; }
   void Close();
   std::size_t in_flight() const { return m_in_flight; }
   std::size_t connection_count() const { return m_sessions.size(); }
@@ -142,7 +142,9 @@
 
   struct Session {
     Session(asio::io_context& loop, tcp::socket socket)
-        : stream(std::move(socket)), room(loop), idle(loop) {}
+        : stream(std::move(socket)),
+          pipeline_capacity(loop),
+          idle_timer(loop) {}
 
     bool is_idle() const { return exchanges.empty() && !is_reading; }
 
@@ -152,9 +154,9 @@
     // In the order in which their requests came, which is that of the answers.
     std::deque<ExchangePointer> exchanges;
     // Cancelled when an answer has been written.
-    asio::steady_timer room;
+    asio::steady_timer pipeline_capacity;
     // Closes the connection when it has been idle for too long.
-    asio::steady_timer idle;
+    asio::steady_timer idle_timer;
     // A request's head has come, but it was not started yet.
     bool is_reading = false;
     bool is_writing = false;
@@ -168,28 +170,29 @@
   static Task<> Serve(std::shared_ptr<Implementation> self,
                       SessionPointer session);
   // Nothing when the connection is to end.
-  Task<ExchangePointer> ReadOne(SessionPointer session, HttpRequest& request);
+  Task<ExchangePointer> ReadRequest(SessionPointer session,
+                                    HttpRequest& request);
   Task<bool> ReadBody(SessionPointer session,
                       ExchangePointer exchange,
                       Parser& parser);
   // False when the body is not taken.
-  Task<bool> AskForBody(SessionPointer session,
-                        ExchangePointer exchange,
-                        Parser& parser,
-                        std::shared_ptr<void>& place);
-  Task<> AwaitRoom(SessionPointer session, bool may_overlap);
-  static Task<> HandleOne(std::shared_ptr<Implementation> self,
-                          SessionPointer session,
+  Task<bool> SendContinue(SessionPointer session,
                           ExchangePointer exchange,
-                          HttpRequest request);
+                          Parser& parser,
+                          std::shared_ptr<void>& place);
+  Task<> AwaitPipelineCapacity(SessionPointer session, bool may_overlap);
+  static Task<> HandleRequest(std::shared_ptr<Implementation> self,
+                              SessionPointer session,
+                              ExchangePointer exchange,
+                              HttpRequest request);
   // Writes the answers that are due by the order of the requests.
-  Task<> WriteAnswers(SessionPointer session);
-  Task<> Refuse(SessionPointer session, HttpResponse refusal);
-  void ArmIdle(const SessionPointer& session);
-  void End(const SessionPointer& session);
+  Task<> WriteResponses(SessionPointer session);
+  Task<> WriteRejection(SessionPointer session, HttpResponse refusal);
+  void StartIdleTimer(const SessionPointer& session);
+  void CloseSession(const SessionPointer& session);
   static void OnCallerGone(Session& session);
   static bool IsClosedByPeer(Session& session);
-  static bool HasUnread(Session& session);
+  static bool HasUnreadBytes(Session& session);
   static void WatchForClose(const SessionPointer& session);
 
   asio::io_context& m_loop;
@@ -199,7 +202,7 @@
   tcp::acceptor m_acceptor;
   std::set<SessionPointer> m_sessions;
   std::size_t m_in_flight = 0;
-  bool m_keeps = true;
+  bool m_is_keep_alive_enabled = true;
   bool m_is_closing = false;
 };
 
@@ -227,7 +230,7 @@
   for (const SessionPointer& session : m_sessions) {
     // A request that has come but was not read yet is still to be answered.
     if (session->is_idle() && session->buffer.size() == 0 &&
-        !HasUnread(*session))
+        !HasUnreadBytes(*session))
       session->stream.close();
   }
 }
@@ -243,7 +246,7 @@
     if (error) {
       spdlog::warn("event=accept-failed address={} reason=\"{}\"",
                    self->m_settings.address.ToString(), error.message());
-      asio::steady_timer pause(self->m_loop, kAcceptPause);
+      asio::steady_timer pause(self->m_loop, kAcceptRetryDelay);
       co_await pause.async_wait(asio::use_awaitable);
       continue;
     }
@@ -264,30 +267,31 @@
   try {
     while (is_kept) {
       HttpRequest request;
-      const ExchangePointer exchange = co_await self->ReadOne(session, request);
+      const ExchangePointer exchange =
+          co_await self->ReadRequest(session, request);
       if (!exchange)
         break;
       is_kept = exchange->keeps_alive;
       // A server that stops ends a connection with the last answer that is due.
       // Taking more ahead of it, it never came to that with a caller who always
       // sends the next, and broke requests off when its time was over.
-      const bool may_overlap = !session->exchanges.empty() && self->m_keeps &&
-                               !self->m_is_closing &&
-                               self->m_handler.MayOverlap(request);
-      co_await self->AwaitRoom(session, may_overlap);
+      const bool may_overlap =
+          !session->exchanges.empty() && self->m_is_keep_alive_enabled &&
+          !self->m_is_closing && self->m_handler.CanPipeline(request);
+      co_await self->AwaitPipelineCapacity(session, may_overlap);
       session->is_reading = false;
       // It came behind an answer that ended the connection: not read, for its
       // caller.
       if (session->is_ending)
         break;
       ++session->served;
-      if (exchange->context.LooksGone()) {
+      if (exchange->context.ProbeCallerGone()) {
         OnCallerGone(*session);
         break;
       }
       session->exchanges.push_back(exchange);
       asio::co_spawn(self->m_loop,
-                     HandleOne(self, session, exchange, std::move(request)),
+                     HandleRequest(self, session, exchange, std::move(request)),
                      asio::detached);
     }
     if (!is_kept)
@@ -300,19 +304,19 @@
   if (is_kept)
     session->is_ending = true;
   if (session->exchanges.empty())
-    self->End(session);
+    self->CloseSession(session);
 }
 
 Task<AsyncHttpServer::Implementation::ExchangePointer>
-AsyncHttpServer::Implementation::ReadOne(SessionPointer session,
-                                         HttpRequest& request) {
+AsyncHttpServer::Implementation::ReadRequest(SessionPointer session,
+                                             HttpRequest& request) {
   if (m_is_closing && session->served > 0 && session->exchanges.empty())
     co_return nullptr;
   Parser parser;
   parser.header_limit(static_cast<std::uint32_t>(m_settings.max_header_bytes));
   parser.body_limit(m_settings.max_body_bytes);
   if (session->exchanges.empty())
-    ArmIdle(session);
+    StartIdleTimer(session);
   session->stream.expires_never();
   boost::system::error_code error;
   co_await http::async_read_header(
@@ -326,10 +330,10 @@
       error != http::error::end_of_stream &&
       error != http::error::partial_message;
   if (is_malformed) {
-    co_await AwaitRoom(session, false);
+    co_await AwaitPipelineCapacity(session, false);
     HttpResponse refusal = HttpResponse::WithStatus(StatusOf(error));
     if (!session->is_ending)
-      co_await Refuse(session, std::move(refusal));
+      co_await WriteRejection(session, std::move(refusal));
     co_return nullptr;
   }
   if (error) {
@@ -337,7 +341,7 @@
     co_return nullptr;
   }
   session->is_reading = true;
-  session->idle.cancel();
+  session->idle_timer.cancel();
   auto exchange =
       std::make_shared<Exchange>(m_in_flight, m_clock.Now(), session->peer_ip);
   exchange->context.SetProbe([session] { return IsClosedByPeer(*session); });
@@ -355,7 +359,8 @@
   std::shared_ptr<void> place;
   const bool asks = parser.get()[http::field::expect] == "100-continue";
   if (asks) {
-    const bool is_taken = co_await AskForBody(session, exchange, parser, place);
+    const bool is_taken =
+        co_await SendContinue(session, exchange, parser, place);
     if (!is_taken)
       co_return false;
   }
@@ -366,9 +371,9 @@
   co_await http::async_read(session->stream, session->buffer, parser,
                             asio::redirect_error(asio::use_awaitable, error));
   if (error == http::error::body_limit) {
-    co_await AwaitRoom(session, false);
+    co_await AwaitPipelineCapacity(session, false);
     HttpResponse refusal = HttpResponse::WithStatus(StatusOf(error));
-    co_await Refuse(session, std::move(refusal));
+    co_await WriteRejection(session, std::move(refusal));
     co_return false;
   }
   if (error)
@@ -376,23 +381,23 @@
   co_return !error;
 }
 
-Task<bool> AsyncHttpServer::Implementation::AskForBody(
+Task<bool> AsyncHttpServer::Implementation::SendContinue(
     SessionPointer session,
     ExchangePointer exchange,
     Parser& parser,
     std::shared_ptr<void>& place) {
   // An answer that is still due goes before it.
-  co_await AwaitRoom(session, false);
+  co_await AwaitPipelineCapacity(session, false);
   HttpRequest head = HeadOf(parser);
   const std::uint64_t bytes = parser.content_length().value_or(0);
   std::optional<HttpResponse> refusal = co_await m_handler.AdmitBody(
       std::move(head), bytes, exchange->context, place);
   session->stream.expires_after(m_settings.read_timeout);
   if (refusal) {
-    co_await Refuse(session, std::move(*refusal));
+    co_await WriteRejection(session, std::move(*refusal));
     co_return false;
   }
-  if (exchange->context.LooksGone()) {
+  if (exchange->context.ProbeCallerGone()) {
     OnCallerGone(*session);
     co_return false;
   }
@@ -402,20 +407,22 @@
   co_return true;
 }
 
-Task<> AsyncHttpServer::Implementation::AwaitRoom(SessionPointer session,
-                                                  bool may_overlap) {
-  const std::size_t most = may_overlap ? kMostOverlapping - 1 : 0;
+Task<> AsyncHttpServer::Implementation::AwaitPipelineCapacity(
+    SessionPointer session,
+    bool may_overlap) {
+  const std::size_t most = may_overlap ? kMaxPipelinedRequests - 1 : 0;
   if (session->exchanges.size() > most)
     WatchForClose(session);
   while (session->exchanges.size() > most && !session->is_ending) {
-    session->room.expires_at(asio::steady_timer::time_point::max());
+    session->pipeline_capacity.expires_at(
+        asio::steady_timer::time_point::max());
     boost::system::error_code ignored;
-    co_await session->room.async_wait(
+    co_await session->pipeline_capacity.async_wait(
         asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
-Task<> AsyncHttpServer::Implementation::HandleOne(
+Task<> AsyncHttpServer::Implementation::HandleRequest(
     std::shared_ptr<Implementation> self,
     SessionPointer session,
     ExchangePointer exchange,
@@ -428,18 +435,19 @@
   }
   exchange->has_ended = true;
   if (!session->is_writing)
-    co_await self->WriteAnswers(session);
+    co_await self->WriteResponses(session);
 }
 
-Task<> AsyncHttpServer::Implementation::WriteAnswers(SessionPointer session) {
+Task<> AsyncHttpServer::Implementation::WriteResponses(SessionPointer session) {
   session->is_writing = true;
   while (!session->exchanges.empty() && session->exchanges.front()->has_ended) {
     const ExchangePointer exchange = session->exchanges.front();
     bool stays = false;
     if (exchange->response && !exchange->context.is_caller_gone()) {
       // What was started behind it is still to be answered.
-      stays = exchange->keeps_alive &&
-              (session->exchanges.size() > 1 || (m_keeps && !m_is_closing));
+      stays =
+          exchange->keeps_alive && (session->exchanges.size() > 1 ||
+                                    (m_is_keep_alive_enabled && !m_is_closing));
       session->is_ending |= !stays;
       auto message = MakeMessage(std::move(*exchange->response), stays);
       session->stream.expires_after(m_settings.read_timeout);
@@ -457,49 +465,52 @@
       session->stream.close();
       OnCallerGone(*session);
     }
-    session->room.cancel();
+    session->pipeline_capacity.cancel();
   }
   session->is_writing = false;
   if (!session->exchanges.empty())
     co_return;
   if (session->is_ending)
-    End(session);
+    CloseSession(session);
   else if (!session->is_reading)
-    ArmIdle(session);
+    StartIdleTimer(session);
 }
 
-void AsyncHttpServer::Implementation::ArmIdle(const SessionPointer& session) {
-  session->idle.expires_after(m_settings.idle_timeout);
-  session->idle.async_wait([session](const boost::system::error_code& error) {
-    if (!error && session->is_idle())
-      session->stream.close();
-  });
+void AsyncHttpServer::Implementation::StartIdleTimer(
+    const SessionPointer& session) {
+  session->idle_timer.expires_after(m_settings.idle_timeout);
+  session->idle_timer.async_wait(
+      [session](const boost::system::error_code& error) {
+        if (!error && session->is_idle())
+          session->stream.close();
+      });
 }
 
-void AsyncHttpServer::Implementation::End(const SessionPointer& session) {
-  session->idle.cancel();
+void AsyncHttpServer::Implementation::CloseSession(
+    const SessionPointer& session) {
+  session->idle_timer.cancel();
   session->stream.close();
   m_sessions.erase(session);
 }
 
 void AsyncHttpServer::Implementation::OnCallerGone(Session& session) {
   session.is_ending = true;
-  session.room.cancel();
+  session.pipeline_capacity.cancel();
   // A request that is stopped may end its exchange at once.
   const std::deque<ExchangePointer> open = session.exchanges;
   for (const ExchangePointer& exchange : open)
     exchange->context.OnCallerGone();
 }
 
-Task<> AsyncHttpServer::Implementation::Refuse(SessionPointer session,
-                                               HttpResponse refusal) {
+Task<> AsyncHttpServer::Implementation::WriteRejection(SessionPointer session,
+                                                       HttpResponse refusal) {
   auto message = MakeMessage(std::move(refusal), false);
   co_await http::async_write(session->stream, message, asio::use_awaitable);
 }
 
-bool AsyncHttpServer::Implementation::HasUnread(Session& session) {
+bool AsyncHttpServer::Implementation::HasUnreadBytes(Session& session) {
   return ProbeSocket(session.stream.socket().native_handle()) ==
-         SocketState::kUnread;
+         SocketState::kReadable;
 }
 
 bool AsyncHttpServer::Implementation::IsClosedByPeer(Session& session) {
@@ -539,8 +550,8 @@
   m_implementation->SetMaxHeaderBytes(bytes);
 }
 
-void AsyncHttpServer::StopKeeping() {
-  m_implementation->StopKeeping();
+void AsyncHttpServer::DisableKeepAlive() {
+  m_implementation->DisableKeepAlive();
 }
 
 void AsyncHttpServer::Close() {
--- a/modules/transport/async/async_http_server.h
+++ b/modules/transport/async/async_http_server.h
@@ -60,7 +60,7 @@
     // Whether it may be started while earlier requests of its connection are
     // still being served. Only for idempotent ones: a caller whose connection
     // ends sends again what it sent behind the last answer.
-    virtual bool MayOverlap(const HttpRequest& /*request*/) const {
+    virtual bool CanPipeline(const HttpRequest& /*request*/) const {
       return false;
     }
   };
@@ -78,7 +78,7 @@
   void SetMaxHeaderBytes(std::size_t bytes);
 
   // Every answer from now on asks its client to use another connection.
-  void StopKeeping();
+  void DisableKeepAlive();
 
   // Takes no new connection, closes idle ones, and each other one after the
   // answer that it waits for.
--- a/modules/transport/async/async_http_test.cc
+++ b/modules/transport/async/async_http_test.cc
@@ -65,7 +65,7 @@
   }
 
   // Requests for "/ahead..." may overlap.
-  bool MayOverlap(const HttpRequest& request) const override {
+  bool CanPipeline(const HttpRequest& request) const override {
     return request.target.starts_with("/ahead");
   }
 
@@ -140,9 +140,15 @@
     std::rethrow_exception(failure);
 }
 
-enum class CallEnd { kAnswered, kTimedOut, kClosed, kTruncated, kMalformed };
+enum class CallOutcome {
+  kAnswered,
+  kTimedOut,
+  kClosed,
+  kTruncated,
+  kMalformed
+};
 
-Task<> CallRaw(asio::io_context& loop, CallEnd& end, std::string& body) {
+Task<> CallRawServer(asio::io_context& loop, CallEnd& end, std::string& body) {
   auto connection =
       co_await AsyncHttpConnection::Open(loop, kRawServer, kTimeout);
   HttpRequest request;
@@ -172,14 +178,16 @@
                  asio::detached);
   CallEnd end = CallEnd::kAnswered;
   std::string text;
-  RunTask(loop, [&] { return CallRaw(loop, end, text); });
+  RunTask(loop, [&] { return CallRawServer(loop, end, text); });
   if (body != nullptr)
     *body = text;
   return end;
 }
 
 // An answer that comes piece by piece, read with a timeout for each.
-CallEnd CallForPieces(int pieces, milliseconds between, milliseconds timeout) {
+CallEnd CallServerSendingPieces(int pieces,
+                                milliseconds between,
+                                milliseconds timeout) {
   asio::io_context loop;
   tcp::acceptor acceptor(
       loop, {asio::ip::make_address(kRawServer.ip), kRawServer.port});
@@ -207,7 +215,7 @@
         co_await AsyncHttpConnection::Open(loop, kRawServer, kTimeout);
     HttpRequest request;
     try {
-      co_await connection->CallForLongAnswer(request, kTimeout, timeout);
+      co_await connection->CallWithProgressTimeout(request, kTimeout, timeout);
     } catch (const ResponseTimeoutError&) {
       end = CallEnd::kTimedOut;
     }
@@ -217,7 +225,7 @@
 
 // How a connection ends for a peer that reads nothing until the call on it has
 // been given up.
-boost::system::error_code EndAfterGivingUp() {
+boost::system::error_code PeerErrorAfterCallTimeout() {
   asio::io_context loop;
   tcp::acceptor acceptor(
       loop, {asio::ip::make_address(kRawServer.ip), kRawServer.port});
@@ -242,11 +250,11 @@
   return end;
 }
 
-void Shut(tcp::socket& socket) {
+void CloseSocket(tcp::socket& socket) {
   socket.close();
 }
 
-void Reset(tcp::socket& socket) {
+void ResetSocket(tcp::socket& socket) {
   socket.set_option(asio::socket_base::linger(true, 0));
   socket.close();
 }
@@ -257,7 +265,7 @@
 // request was run when the target came to it, long after: the connection's
 // close was in line behind it.
 TEST_CASE("a request that was given up does not go on arriving") {
-  CHECK(EndAfterGivingUp() == asio::error::connection_reset);
+  CHECK(PeerErrorAfterCallTimeout() == asio::error::connection_reset);
 }
 
 TEST_CASE_FIXTURE(EchoServer,
@@ -265,18 +273,18 @@
   AsyncConnectionPool pool(loop, clock, {});
   const auto calls = [&]() -> Task<> {
     for (int i = 0; i < 3; ++i) {
-      auto connection = co_await pool.Take(kServer, kTimeout);
+      auto connection = co_await pool.Acquire(kServer, kTimeout);
       HttpRequest request;
       request.method = "POST";
       request.body = std::string(100'000, 'x');
       HttpResponse response = co_await connection->Call(request, kTimeout);
       CHECK(response.body.size() == 100'005);
-      pool.GiveBack(kServer, std::move(connection));
+      pool.Release(kServer, std::move(connection));
     }
   };
   RunTask(loop, calls);
   CHECK(handler.handled == 3);
-  CHECK(pool.opened() == 1);
+  CHECK(pool.opened_count() == 1);
 }
 
 // A caller leaves while its request is served: its work has to stop, and the
@@ -301,10 +309,10 @@
 
 // Sends all of `text` at once on one connection and reads until `end` came, the
 // server closed, or a second has passed.
-Task<> SendAhead(asio::io_context& loop,
-                 std::string text,
-                 std::string end,
-                 std::string& answers) {
+Task<> SendPipelined(asio::io_context& loop,
+                     std::string text,
+                     std::string end,
+                     std::string& answers) {
   tcp::socket socket(loop);
   co_await socket.async_connect(
       {asio::ip::make_address(kServer.ip), kServer.port}, asio::use_awaitable);
@@ -325,15 +333,15 @@
          std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-struct ServedAhead {
-  ServedAhead() {
+struct PipeliningFixture {
+  PipeliningFixture() {
     settings.address = kServer;
     server.emplace(loop, clock, settings, handler);
   }
 
-  std::string Send(const std::string& text, const std::string& end) {
+  std::string SendPipelined(const std::string& text, const std::string& end) {
     std::string answers;
-    RunTask(loop, [&] { return SendAhead(loop, text, end, answers); });
+    RunTask(loop, [&] { return SendPipelined(loop, text, end, answers); });
     return answers;
   }
 
@@ -346,12 +354,12 @@
 
 // A caller sends the next requests before the first is answered. Served one
 // after the other, each would also wait for all before it.
-TEST_CASE_FIXTURE(ServedAhead,
+TEST_CASE_FIXTURE(PipeliningFixture,
                   "requests sent ahead run together, answered in order") {
   const std::string answers =
-      Send(Post("/ahead/pause", "1") + Post("/ahead", "2") +
-               Post("/ahead/pause", "3"),
-           "echo:3");
+      SendPipelined(Post("/ahead/pause", "1") + Post("/ahead", "2") +
+                        Post("/ahead/pause", "3"),
+                    "echo:3");
   CHECK(handler.most_running >= 2);
   const std::size_t first = answers.find("echo:1");
   const std::size_t second = answers.find("echo:2");
@@ -360,21 +368,22 @@
   CHECK(second < answers.find("echo:3"));
 }
 
-TEST_CASE_FIXTURE(ServedAhead,
+TEST_CASE_FIXTURE(PipeliningFixture,
                   "a request that may run once waits for those before it") {
-  const std::string answers =
-      Send(Post("/ahead/pause", "1") + Post("/once/pause", "2"), "echo:2");
+  const std::string answers = SendPipelined(
+      Post("/ahead/pause", "1") + Post("/once/pause", "2"), "echo:2");
   CHECK(handler.most_running == 1);
   CHECK(answers.find("echo:2") != std::string::npos);
 }
 
 // One connection sends very many ahead of a slow one. What they answer is held
 // in memory until then, so that only some are started.
-TEST_CASE_FIXTURE(ServedAhead, "few requests of one connection run together") {
+TEST_CASE_FIXTURE(PipeliningFixture,
+                  "few requests of one connection run together") {
   std::string text;
   for (int i = 0; i < 30; ++i)
     text += Post("/ahead/pause", "x" + std::to_string(i) + ".");
-  const std::string answers = Send(text, "echo:x29.");
+  const std::string answers = SendPipelined(text, "echo:x29.");
   CHECK(handler.most_running <= 8);
   CHECK(answers.find("echo:x29.") != std::string::npos);
 }
@@ -383,31 +392,32 @@
 // that is due ends the connection, and what stands behind it was never started:
 // its caller sends it again. Before, such a connection never ended, and its
 // requests were broken off when the process did.
-TEST_CASE_FIXTURE(ServedAhead,
+TEST_CASE_FIXTURE(PipeliningFixture,
                   "what stands behind a closing answer does not run") {
   asio::steady_timer stop(loop, milliseconds(30));
   stop.async_wait([this](const boost::system::error_code& /*error*/) {
-    server->StopKeeping();
+    server->DisableKeepAlive();
   });
   const std::string answers =
-      Send(Post("/ahead/pause", "1") + Post("/once", "2"), "echo:2");
+      SendPipelined(Post("/ahead/pause", "1") + Post("/once", "2"), "echo:2");
   CHECK(answers.find("echo:1") != std::string::npos);
   CHECK(answers.find("Connection: close") != std::string::npos);
   CHECK(answers.find("echo:2") == std::string::npos);
   CHECK(handler.handled == 1);
 }
 
-TEST_CASE_FIXTURE(ServedAhead,
+TEST_CASE_FIXTURE(PipeliningFixture,
                   "a stopping server starts nothing that was sent ahead") {
-  server->StopKeeping();
+  server->DisableKeepAlive();
   const std::string answers =
-      Send(Post("/ahead/pause", "1") + Post("/ahead", "2"), "echo:2");
+      SendPipelined(Post("/ahead/pause", "1") + Post("/ahead", "2"), "echo:2");
   CHECK(answers.find("echo:1") != std::string::npos);
   CHECK(handler.handled == 1);
 }
 
 // The caller leaves while several of its requests are served.
-TEST_CASE_FIXTURE(ServedAhead, "a caller that goes ends all that it sent") {
+TEST_CASE_FIXTURE(PipeliningFixture,
+                  "a caller that goes ends all that it sent") {
   const auto leave = [this]() -> Task<> {
     tcp::socket socket(loop);
     co_await socket.async_connect(
@@ -438,14 +448,14 @@
     request.body = std::string(100'000, 'x');
     for (int i = 0; i < 2; ++i) {
       const HttpResponse taken =
-          co_await connection->CallAskingFirst(request, kTimeout);
+          co_await connection->CallExpectingContinue(request, kTimeout);
       CHECK(taken.body == "echo:" + request.body);
       CHECK(connection->is_reusable());
     }
     CHECK(handler.places_open == 0);
     request.target = "/full";
     const HttpResponse refused =
-        co_await connection->CallAskingFirst(request, kTimeout);
+        co_await connection->CallExpectingContinue(request, kTimeout);
     CHECK(refused.head.status == 503);
     CHECK_FALSE(connection->is_reusable());
   };
@@ -523,19 +533,21 @@
 TEST_CASE("a long answer may take as long as it moves on") {
   constexpr int kPieces = 8;
   constexpr milliseconds kBetween{60};
-  CHECK(CallForPieces(kPieces, kBetween, 2 * kBetween) == CallEnd::kAnswered);
-  CHECK(CallForPieces(kPieces, kBetween, kBetween / 3) == CallEnd::kTimedOut);
+  CHECK(CallServerSendingPieces(kPieces, kBetween, 2 * kBetween) ==
+        CallEnd::kAnswered);
+  CHECK(CallServerSendingPieces(kPieces, kBetween, kBetween / 3) ==
+        CallEnd::kTimedOut);
 }
 
 // An answer that ends early must not look complete, whichever way it ends.
 TEST_CASE("answers that break off, or are none, are told apart") {
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n";
   CHECK(CallAgainst(head + "0123456789", nullptr) == CallEnd::kAnswered);
-  CHECK(CallAgainst(head + "0123", Shut) == CallEnd::kTruncated);
-  CHECK(CallAgainst(head + "0123", Reset) == CallEnd::kTruncated);
+  CHECK(CallAgainst(head + "0123", CloseSocket) == CallEnd::kTruncated);
+  CHECK(CallAgainst(head + "0123", ResetSocket) == CallEnd::kTruncated);
   CHECK(CallAgainst(head + "0123", nullptr) == CallEnd::kTimedOut);
-  CHECK(CallAgainst("", Shut) == CallEnd::kClosed);
-  CHECK(CallAgainst("", Reset) == CallEnd::kClosed);
+  CHECK(CallAgainst("", CloseSocket) == CallEnd::kClosed);
+  CHECK(CallAgainst("", ResetSocket) == CallEnd::kClosed);
   CHECK(CallAgainst("garbage\r\n\r\n", nullptr) == CallEnd::kMalformed);
 }
 
@@ -544,9 +556,9 @@
     "reset") {
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   std::string body;
-  CHECK(CallAgainst(head + "whole", Shut, &body) == CallEnd::kAnswered);
+  CHECK(CallAgainst(head + "whole", CloseSocket, &body) == CallEnd::kAnswered);
   CHECK(body == "whole");
-  CHECK(CallAgainst(head + "part", Reset) == CallEnd::kTruncated);
+  CHECK(CallAgainst(head + "part", ResetSocket) == CallEnd::kTruncated);
 }
 
 }  // namespace citrongrade
--- a/modules/transport/async/request_context.h
+++ b/modules/transport/async/request_context.h
@@ -24,17 +24,21 @@
   // Looks at the connection itself. The close of a caller whose request was
   // held up on its way comes together with the request, before the event loop
   // has told of it.
-  bool LooksGone() const { return m_is_caller_gone || (m_probe && m_probe()); }
+  bool ProbeCallerGone() const {
+    return m_is_caller_gone || (m_probe && m_probe());
+  }
   void SetProbe(std::function<bool()> probe) { m_probe = std::move(probe); }
 
   // `stop` is called, once, when the caller goes: it makes whatever the request
   // waits for fail. Replaces the one before.
-  void SetStop(std::function<void()> stop) { m_stop = std::move(stop); }
-  void ClearStop() { m_stop = nullptr; }
+  void SetCancelCallback(std::function<void()> stop) {
+    m_cancel = std::move(stop);
+  }
+  void ClearCancelCallback() { m_cancel = nullptr; }
 
   void OnCallerGone() {
     m_is_caller_gone = true;
-    if (auto stop = std::exchange(m_stop, nullptr))
+    if (auto stop = std::exchange(m_cancel, nullptr))
       stop();
   }
 
@@ -42,7 +46,7 @@
   const Clock::TimePoint m_arrived;
   const std::string m_caller_ip;
   bool m_is_caller_gone = false;
-  std::function<void()> m_stop;
+  std::function<void()> m_cancel;
   std::function<bool()> m_probe;
 };
 
--- a/modules/transport/async/socket_probe.cc
+++ b/modules/transport/async/socket_probe.cc
@@ -10,9 +10,9 @@
   char byte = 0;
   const ssize_t count = recv(handle, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (count > 0)
-    return SocketState::kUnread;
+    return SocketState::kReadable;
   if (count < 0 && (errno == EAGAIN || errno == EINTR))
-    return SocketState::kQuiet;
+    return SocketState::kIdle;
   return SocketState::kClosed;
 }
 
--- a/modules/transport/async/socket_probe.h
+++ b/modules/transport/async/socket_probe.h
@@ -4,9 +4,9 @@
 
 enum class SocketState {
   // Open, with nothing to read.
-  kQuiet,
+  kIdle,
   // Bytes have come that nobody has read.
-  kUnread,
+  kReadable,
   // The peer closed or reset it.
   kClosed,
 };
--- a/modules/transport/mesh/config_transfer.cc
+++ b/modules/transport/mesh/config_transfer.cc
@@ -92,13 +92,13 @@
   request.method = "POST";
   request.target = kPath;
   request.body = ConfigChangeCodec::EncodeRequest(m_config.version());
-  auto connection = co_await m_peers.Take(address, kMaxConnectionIdle);
+  auto connection = co_await m_peers.Acquire(address, kMaxConnectionIdle);
   if (fetch_number != m_last_fetch_number)
     throw MalformedMessageError("superseded by a transfer from another source");
   m_connection = connection.get();
   HttpResponse response;
   try {
-    response = co_await connection->CallForLongAnswer(
+    response = co_await connection->CallWithProgressTimeout(
         std::move(request), kFirstByteTimeout, kProgressTimeout);
   } catch (...) {
     if (fetch_number == m_last_fetch_number)
@@ -107,7 +107,7 @@
   }
   if (fetch_number == m_last_fetch_number)
     m_connection = nullptr;
-  m_peers.GiveBack(address, std::move(connection));
+  m_peers.Release(address, std::move(connection));
   if (response.head.status != kOk) {
     throw MalformedMessageError(source + " answered " +
                                 std::to_string(response.head.status));
--- a/modules/transport/mesh/mesh_agent.cc
+++ b/modules/transport/mesh/mesh_agent.cc
@@ -235,11 +235,11 @@
   request.target = std::move(target);
   request.body = std::move(body);
   const Clock::TimePoint started = m_clock.Now();
-  auto connection = co_await m_peers.Take(address, kMaxConnectionIdle);
+  auto connection = co_await m_peers.Acquire(address, kMaxConnectionIdle);
   const Clock::Duration left = timeout - (m_clock.Now() - started);
   HttpResponse response = co_await connection->Call(
       std::move(request), std::max<Clock::Duration>(left, milliseconds(1)));
-  m_peers.GiveBack(address, std::move(connection));
+  m_peers.Release(address, std::move(connection));
   if (response.head.status != kOk)
     throw MalformedMessageError(peer + " answered with status " +
                                 std::to_string(response.head.status));
--- a/modules/transport/mesh/request_router.cc
+++ b/modules/transport/mesh/request_router.cc
@@ -150,7 +150,7 @@
   return best->service;
 }
 
-bool RequestRouter::MayOverlap(const HttpRequest& request) const {
+bool RequestRouter::CanPipeline(const HttpRequest& request) const {
   const CallerRequestInfo caller =
       m_dependencies.dialect.ReadCallerRequest(request);
   const RouteRule* route =
@@ -307,7 +307,7 @@
   const Clock::TimePoint started = clock.Now();
   try {
     connection =
-        co_await m_dependencies.peers.Take(address, kMaxConnectionIdle);
+        co_await m_dependencies.peers.Acquire(address, kMaxConnectionIdle);
   } catch (const HttpError& error) {
     co_return ForwardResult::NotRun(RequestErrorCode::kOwnerUnreachable,
                                     error.what(), kRetryAfterNoOwner);
@@ -316,8 +316,8 @@
       std::chrono::ceil<milliseconds>(clock.Now() - started);
   metadata.time_left -= connect_time + kHopAllowance;
   metadata.soft_time_left -= connect_time + kHopAllowance;
-  if (context.LooksGone() || metadata.time_left <= milliseconds(0)) {
-    m_dependencies.peers.GiveBack(address, std::move(connection));
+  if (context.ProbeCallerGone() || metadata.time_left <= milliseconds(0)) {
+    m_dependencies.peers.Release(address, std::move(connection));
     co_return ForwardResult::NotRun(
         RequestErrorCode::kDeadlinePassed,
         "the deadline passed before the request was forwarded");
@@ -325,7 +325,7 @@
   metadata.sender_id = m_dependencies.agent.incarnation();
   metadata.sent_at = clock.Now().time_since_epoch();
   metadata.WriteTo(request);
-  context.SetStop([&connection] { connection->Close(); });
+  context.SetCancelCallback([&connection] { connection->Close(); });
   ForwardResult result;
   try {
     const milliseconds timeout = metadata.time_left + kHopAllowance;
@@ -333,18 +333,18 @@
     if (request.body.size() < kLongBodyBytes)
       response = co_await connection->Call(std::move(request), timeout);
     else
-      response =
-          co_await connection->CallAskingFirst(std::move(request), timeout);
-    context.ClearStop();
-    m_dependencies.peers.GiveBack(address, std::move(connection));
+      response = co_await connection->CallExpectingContinue(std::move(request),
+                                                            timeout);
+    context.ClearCancelCallback();
+    m_dependencies.peers.Release(address, std::move(connection));
     RemoveHopByHopHeaders(response.head.headers);
     result = ForwardResult::FromHttpResponse(std::move(response));
   } catch (const ResponseTimeoutError& error) {
-    context.ClearStop();
+    context.ClearCancelCallback();
     result =
         ForwardResult::Unknown(RequestErrorCode::kTargetTimeout, error.what());
   } catch (const HttpError& error) {
-    context.ClearStop();
+    context.ClearCancelCallback();
     result = ForwardResult::Unknown(RequestErrorCode::kOwnerUnreachable,
                                     error.what());
   } catch (const MalformedMessageError& error) {
@@ -468,11 +468,11 @@
   auto waiter = std::make_shared<Waiter>(m_dependencies.loop);
   waiter->timer.expires_after(max_wait);
   m_waiters.insert(waiter);
-  context.SetStop([waiter] { waiter->timer.cancel(); });
+  context.SetCancelCallback([waiter] { waiter->timer.cancel(); });
   boost::system::error_code ignored;
   co_await waiter->timer.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
-  context.ClearStop();
+  context.ClearCancelCallback();
   m_waiters.erase(waiter);
 }
 
--- a/modules/transport/mesh/request_router.h
+++ b/modules/transport/mesh/request_router.h
@@ -62,7 +62,7 @@
 
   Task<HttpResponse> Handle(HttpRequest request,
                             RequestContext& context) override;
-  bool MayOverlap(const HttpRequest& request) const override;
+  bool CanPipeline(const HttpRequest& request) const override;
 
   // Wakes the requests that wait for a change of the view.
   void OnViewChanged();
--- a/modules/transport/mesh/target_controller.cc
+++ b/modules/transport/mesh/target_controller.cc
@@ -103,8 +103,8 @@
   m_assignments.clear();
   m_sequence = 0;
   m_unanswered_calls = 0;
-  m_pool.Forget(m_settings.address);
-  m_command_pool->Forget(m_settings.address);
+  m_pool.CloseIdle(m_settings.address);
+  m_command_pool->CloseIdle(m_settings.address);
   spdlog::info("event=target-started target={} started_unix_ms={} service={}",
                m_incarnation.id, m_incarnation.started_unix_ms, m_service);
 }
@@ -231,8 +231,8 @@
   m_holds.Clear();
   m_assignments.clear();
   ++m_incarnation_number;
-  m_pool.Forget(m_settings.address);
-  m_command_pool->Forget(m_settings.address);
+  m_pool.CloseIdle(m_settings.address);
+  m_command_pool->CloseIdle(m_settings.address);
   SetState(State::kGone, "connection-refused");
   m_listener.OnTargetLost();
 }
@@ -318,15 +318,15 @@
                                                 Clock::Duration timeout) {
   const Clock::TimePoint started = m_clock.Now();
   auto connection =
-      co_await m_command_pool->Take(m_settings.address, kMaxCommandIdle);
+      co_await m_command_pool->Acquire(m_settings.address, kMaxCommandIdle);
   const Clock::Duration left = timeout - (m_clock.Now() - started);
-  AsyncHttpConnection::IsAnswer is_answer =
+  AsyncHttpConnection::IsMatchingResponse is_answer =
       [this](const HttpResponse& response) {
         return m_protocol.IsCommandResponse(response);
       };
   HttpResponse response =
       co_await connection->Call(std::move(command), left, std::move(is_answer));
-  m_command_pool->GiveBack(m_settings.address, std::move(connection));
+  m_command_pool->Release(m_settings.address, std::move(connection));
   co_return response;
 }
 
@@ -417,7 +417,7 @@
 }
 
 void TargetController::CloseIdleConnections() {
-  m_command_pool->Sweep();
+  m_command_pool->CloseExpired();
 }
 
 bool TargetController::IsServing() const {
--- a/modules/transport/mesh/target_gateway.cc
+++ b/modules/transport/mesh/target_gateway.cc
@@ -230,11 +230,12 @@
     auto waiting_request = std::make_shared<WaitingRequest>(m_loop);
     waiting_request->wakeup.expires_after(metadata.time_left);
     m_waiting_requests.emplace(ticket, waiting_request);
-    context.SetStop([waiting_request] { waiting_request->wakeup.cancel(); });
+    context.SetCancelCallback(
+        [waiting_request] { waiting_request->wakeup.cancel(); });
     boost::system::error_code ignored;
     co_await waiting_request->wakeup.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
-    context.ClearStop();
+    context.ClearCancelCallback();
     m_waiting_requests.erase(ticket);
     if (!waiting_request->verdict)
       m_admission.Withdraw(ticket);
@@ -262,9 +263,9 @@
   const HttpAddress address = m_controller.address();
   std::unique_ptr<AsyncHttpConnection> connection;
   try {
-    connection = co_await m_pool.Take(address, metadata.is_idempotent
-                                                   ? kMaxIdleIdempotent
-                                                   : kMaxIdleNonIdempotent);
+    connection = co_await m_pool.Acquire(address, metadata.is_idempotent
+                                                      ? kMaxIdleIdempotent
+                                                      : kMaxIdleNonIdempotent);
   } catch (const ConnectRefusedError& error) {
     m_controller.OnRefused();
     co_return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
@@ -275,13 +276,13 @@
                                     error.what(), kRetryAfterTargetLoss);
   }
   // Connecting may have taken a while, so the state is checked again.
-  if (context.LooksGone()) {
-    m_pool.GiveBack(address, std::move(connection));
+  if (context.ProbeCallerGone()) {
+    m_pool.Release(address, std::move(connection));
     co_return ForwardResult::NotRun(RequestErrorCode::kCancelled,
                                     "the caller closed the connection");
   }
   if (auto refusal = CheckServable(metadata)) {
-    m_pool.GiveBack(address, std::move(connection));
+    m_pool.Release(address, std::move(connection));
     co_return *refusal;
   }
   const Clock::TimePoint started = m_clock.Now();
@@ -289,7 +290,7 @@
   const auto left =
       std::chrono::floor<milliseconds>(deadline - started) - kReplyAllowance;
   if (left <= milliseconds(0)) {
-    m_pool.GiveBack(address, std::move(connection));
+    m_pool.Release(address, std::move(connection));
     co_return ForwardResult::NotRun(
         RequestErrorCode::kDeadlinePassed,
         "the deadline passed before the request was admitted");
@@ -299,21 +300,22 @@
   target_info.time_left = left;
   target_info.expected_target = m_controller.incarnation().id;
   target_info.origin_service = metadata.origin_service;
-  context.SetStop([&connection] { connection->Close(); });
+  context.SetCancelCallback([&connection] { connection->Close(); });
   sent_at = started;
   try {
-    AsyncHttpConnection::IsAnswer is_answer = [this, id = metadata.request_id](
-                                                  const HttpResponse& answer) {
-      const TargetResponseInfo response_info =
-          m_protocol.ReadTargetResponse(answer);
-      return response_info.request_id == id ||
-             (response_info.request_id.empty() && response_info.did_not_run);
-    };
+    AsyncHttpConnection::IsMatchingResponse is_answer =
+        [this, id = metadata.request_id](const HttpResponse& answer) {
+          const TargetResponseInfo response_info =
+              m_protocol.ReadTargetResponse(answer);
+          return response_info.request_id == id ||
+                 (response_info.request_id.empty() &&
+                  response_info.did_not_run);
+        };
     HttpRequest outgoing =
         m_protocol.MakeTargetRequest(std::move(request), target_info);
     HttpResponse response = co_await connection->Call(std::move(outgoing), left,
                                                       std::move(is_answer));
-    context.ClearStop();
+    context.ClearCancelCallback();
     m_controller.OnCallEnded(true);
     const TargetResponseInfo response_info =
         m_protocol.ReadTargetResponse(response);
@@ -325,17 +327,17 @@
       m_poison_detector->OnFinished(
           RequestFingerprint(m_running_fingerprints[ticket]));
     }
-    m_pool.GiveBack(address, std::move(connection));
+    m_pool.Release(address, std::move(connection));
     ForwardResult result = ClassifyResponse(std::move(response), response_info);
     result.hold_left = hold_left;
     co_return result;
   } catch (const ResponseTimeoutError& error) {
-    context.ClearStop();
+    context.ClearCancelCallback();
     m_controller.OnCallEnded(false);
     co_return ForwardResult::Unknown(RequestErrorCode::kTargetTimeout,
                                      error.what());
   } catch (const HttpError& error) {
-    context.ClearStop();
+    context.ClearCancelCallback();
     if (context.is_caller_gone()) {
       co_return ForwardResult::Unknown(RequestErrorCode::kCancelled,
                                        "the caller closed the connection");
@@ -404,8 +406,8 @@
 Task<> TargetGateway::ProbeTarget() {
   const HttpAddress address = m_controller.address();
   try {
-    auto connection = co_await m_pool.Take(address, Clock::Duration(0));
-    m_pool.GiveBack(address, std::move(connection));
+    auto connection = co_await m_pool.Acquire(address, Clock::Duration(0));
+    m_pool.Release(address, std::move(connection));
   } catch (const ConnectRefusedError&) {
     m_controller.OnRefused();
   } catch (const ConnectError& error) {
--- a/programs/citrongrade-router/main.cc
+++ b/programs/citrongrade-router/main.cc
@@ -20,10 +20,10 @@
 
 // Lines that wait for the log's thread. When it is full the oldest go: a node
 // must not wait for whoever reads its log.
-constexpr std::size_t kLogQueue = 256;
+constexpr std::size_t kLogQueueLength = 256;
 
 void SetUpAsyncLogging(bool verbose) {
-  spdlog::init_thread_pool(kLogQueue, 1);
+  spdlog::init_thread_pool(kLogQueueLength, 1);
   auto logger =
       spdlog::create_async_nb<spdlog::sinks::stdout_sink_mt>("router");
   logger->set_pattern(kLogPattern);
@@ -42,14 +42,14 @@
                  "--settings-file must be set");
   reader.Add("--published-ip", settings.published_ip,
              "address at which other nodes reach this one; default: its own");
-  reader.AddSwitch("--check-settings", settings.only_check,
+  reader.AddSwitch("--check-settings", settings.check_only,
                    "read the settings, say what is wrong, and end");
   reader.AddSwitch("--verbose", settings.verbose, "log debug events too");
   reader.Add("--log-failures-per-second", settings.log_failures_per_second,
              "lines for each event of requests that were not served");
   reader.Add("--log-successes-per-second", settings.log_successes_per_second,
              "lines for each event of requests that were served");
-  reader.Add("--settings-check-ms", settings.settings_check,
+  reader.Add("--settings-check-ms", settings.settings_check_interval,
              "how often the settings file is looked at");
   reader.Add("--max-body-bytes", settings.max_body_bytes,
              "longest body of a request; it is held in memory");
@@ -62,7 +62,7 @@
   if (!reader.Read(argc, argv))
     return EXIT_SUCCESS;
   const auto file = platform::SettingsFile::Read(settings.settings_file);
-  if (settings.only_check) {
+  if (settings.check_only) {
     std::cout << "settings are well\n";
     return EXIT_SUCCESS;
   }
--- a/programs/citrongrade-router/report_handler.cc
+++ b/programs/citrongrade-router/report_handler.cc
@@ -31,29 +31,30 @@
   if (id.empty())
     co_return Respond(kNotFound);
   if (request.method == "DELETE") {
-    m_keeper.OnLeave(id);
+    m_target_controller.OnLeave(id);
     co_return Respond(kOk);
   }
   if (request.method != "PUT")
     co_return Respond(kBadRequest);
-  co_return co_await Take(id, std::move(request));
+  co_return co_await HandleReport(id, std::move(request));
 }
 
-Task<HttpResponse> ReportHandler::Take(std::string id, HttpRequest request) {
+Task<HttpResponse> ReportHandler::HandleReport(std::string id,
+                                               HttpRequest request) {
   using platform::TargetReportCodec;
   try {
     const TargetReport report = TargetReportCodec::Decode(id, request.body);
     // Only the target beside this node can be given work here.
-    if (report.address != m_keeper.address().ToString())
+    if (report.address != m_target_controller.address().ToString())
       throw platform::InvalidReportError("Address: of another host");
-    if (m_keeper.OnReport(report) ==
+    if (m_target_controller.OnReport(report) ==
         TargetController::ReportResult::kOutdated) {
       spdlog::info("event=target-report-outdated target={} sequence={}", id,
                    report.sequence);
       co_return Respond(kOk);
     }
-    const auto statement = co_await m_keeper.AwaitStatement(report);
-    co_return Respond(kOk, TargetReportCodec::EncodeAnswer(statement));
+    const auto statement = co_await m_target_controller.AwaitStatement(report);
+    co_return Respond(kOk, TargetReportCodec::EncodeReply(statement));
   } catch (const platform::InvalidReportError& error) {
     spdlog::warn("event=target-report-unreadable target={} reason=\"{}\"", id,
                  error.what());
--- a/programs/citrongrade-router/report_handler.h
+++ b/programs/citrongrade-router/report_handler.h
@@ -11,15 +11,16 @@
 // in the answers.
 class ReportHandler final : public AsyncHttpServer::Handler {
  public:
-  explicit ReportHandler(TargetController& keeper) : m_keeper(keeper) {}
+  explicit ReportHandler(TargetController& keeper)
+      : m_target_controller(keeper) {}
 
   Task<HttpResponse> Handle(HttpRequest request,
                             RequestContext& context) override;
 
  private:
-  Task<HttpResponse> Take(std::string id, HttpRequest request);
+  Task<HttpResponse> HandleReport(std::string id, HttpRequest request);
 
-  TargetController& m_keeper;
+  TargetController& m_target_controller;
 };
 
 }  // namespace citrongrade
--- a/programs/citrongrade-router/router_node.cc
+++ b/programs/citrongrade-router/router_node.cc
@@ -43,21 +43,21 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kTick{25};
+constexpr milliseconds kTickInterval{25};
 constexpr int kTicksPerRefresh = 4;
 // Part of the time after a confirmed leave in which the target still gets work;
 // the rest is for requests on their way.
-constexpr double kDrainPart = 0.75;
+constexpr double kDrainFraction = 0.75;
 // Callers learn that this node stops by two readiness checks, a second apart.
-constexpr milliseconds kUnreadyBeforeClose{2300};
+constexpr milliseconds kReadinessPropagationDelay{2300};
 // Keys that can't be given away by then are given up.
-constexpr milliseconds kLongestHandover{3600};
-constexpr milliseconds kBeforeKill{500};
+constexpr milliseconds kMaxHandoverTime{3600};
+constexpr milliseconds kTerminationMargin{500};
 // This node's part of the mesh's retries; the rest is a reserve, as nodes do
 // not tell each other how many they have used.
-constexpr double kRetryPart = 0.5;
+constexpr double kRetryFraction = 0.5;
 // A caller's head and what nodes add to it.
-constexpr std::size_t kHopHeaderFactor = 2;
+constexpr std::size_t kForwardedHeaderFactor = 2;
 constexpr double kBytesPerMegabit = 1e6 / 8;
 constexpr std::size_t kStatusHeaderBytes = std::size_t{8} * 1024;
 constexpr int kOk = 200;
@@ -65,11 +65,12 @@
 constexpr int kUnavailable = 503;
 
 // A handler made of a function, for what answers at once.
-class SimpleHandler final : public AsyncHttpServer::Handler {
+class FunctionHandler final : public AsyncHttpServer::Handler {
  public:
   using Function = std::function<HttpResponse(const HttpRequest&)>;
 
-  explicit SimpleHandler(Function function) : m_function(std::move(function)) {}
+  explicit FunctionHandler(Function function)
+      : m_function(std::move(function)) {}
 
   Task<HttpResponse> Handle(HttpRequest request,
                             RequestContext& /*context*/) override {
@@ -80,52 +81,54 @@
   const Function m_function;
 };
 
-AsyncHttpServer::Settings ServerAt(const HttpAddress& address) {
+AsyncHttpServer::Settings MakeServerSettings(const HttpAddress& address) {
   AsyncHttpServer::Settings settings;
   settings.address = address;
   return settings;
 }
 
-AsyncHttpServer::Settings CallerServer(const RouterSettings& settings,
-                                       const platform::SettingsFile& file) {
-  AsyncHttpServer::Settings server = ServerAt(file.callers);
+AsyncHttpServer::Settings MakeCallerServerSettings(
+    const RouterSettings& settings,
+    const platform::SettingsFile& file) {
+  AsyncHttpServer::Settings server = MakeServerSettings(file.callers);
   server.max_body_bytes = settings.max_body_bytes;
   return server;
 }
 
-AsyncHttpServer::Settings WorkServer(const platform::SettingsFile& file) {
-  AsyncHttpServer::Settings server = ServerAt(file.work);
-  server.max_header_bytes *= kHopHeaderFactor;
+AsyncHttpServer::Settings MakeForwardedServerSettings(
+    const platform::SettingsFile& file) {
+  AsyncHttpServer::Settings server = MakeServerSettings(file.forwarded);
+  server.max_header_bytes *= kForwardedHeaderFactor;
   server.max_body_bytes *= 2;
   return server;
 }
 
-AsyncHttpServer::Settings StatusServer(const HttpAddress& address) {
-  AsyncHttpServer::Settings server = ServerAt(address);
+AsyncHttpServer::Settings MakeStatusServerSettings(const HttpAddress& address) {
+  AsyncHttpServer::Settings server = MakeServerSettings(address);
   server.max_header_bytes = kStatusHeaderBytes;
   return server;
 }
 
-HttpAddress OwnAddress(const platform::SettingsFile& file, int index) {
-  return {file.ip, static_cast<std::uint16_t>(file.first_own_port + index)};
+HttpAddress MeshAddress(const platform::SettingsFile& file, int index) {
+  return {file.ip, static_cast<std::uint16_t>(file.first_mesh_port + index)};
 }
 
 // With less of either, a host's node is less fit to lead. A leader of 61 nodes
 // with a tenth of a core answered them seconds late; a whole view for each of
 // 75 nodes is 1 MB, which a link of 20 Mbit/s carries in half a second.
-constexpr double kAmpleCores = 0.5;
-constexpr double kAmpleLinkMbps = 100;
+constexpr double kFullFitnessCores = 0.5;
+constexpr double kFullFitnessLinkMbps = 100;
 
 double LeaderFitness(const platform::SettingsFile& file) {
-  return std::min(
-      {1.0, file.cpu_share / kAmpleCores, file.link_mbps / kAmpleLinkMbps});
+  return std::min({1.0, file.cpu_share / kFullFitnessCores,
+                   file.link_mbps / kFullFitnessLinkMbps});
 }
 
 // What this node tells others of itself.
-MeshAgent::Identity IdentityOf(const RouterSettings& settings,
-                               const platform::SettingsFile& file) {
-  HttpAddress mesh = OwnAddress(file, 0);
-  HttpAddress data = file.work;
+MeshAgent::Identity MakeIdentity(const RouterSettings& settings,
+                                 const platform::SettingsFile& file) {
+  HttpAddress mesh = MeshAddress(file, 0);
+  HttpAddress data = file.forwarded;
   if (!settings.published_ip.empty()) {
     mesh.ip = settings.published_ip;
     data.ip = settings.published_ip;
@@ -133,11 +136,12 @@
   return {mesh.ToString(), data.ToString(), file.zone, LeaderFitness(file)};
 }
 
-TargetController::Settings KeeperSettings(const platform::SettingsFile& file) {
+TargetController::Settings MakeTargetControllerSettings(
+    const platform::SettingsFile& file) {
   TargetController::Settings settings;
   settings.address = file.target;
-  settings.drain_period =
-      std::chrono::duration_cast<milliseconds>(file.drain * kDrainPart);
+  settings.drain_period = std::chrono::duration_cast<milliseconds>(
+      file.drain_timeout * kDrainFraction);
   settings.grants_by_report = file.grants_by_report;
   return settings;
 }
@@ -179,32 +183,32 @@
   const MeshTiming m_timing{};
   boost::asio::io_context m_loop{1};
   LoopMonitor m_monitor;
-  const platform::PlatformWireProtocol m_dialect{};
-  const platform::ConfigDocument m_decoder{};
+  const platform::PlatformWireProtocol m_wire_protocol{};
+  const platform::ConfigDocument m_config_decoder{};
   AsyncConnectionPool m_target_pool;
   AsyncConnectionPool m_peer_pool;
   AsyncConnectionPool m_store_pool;
   platform::PlatformStore m_store;
   ConfigFollower m_config;
   ConfigTransfer m_transfer;
-  TargetController m_keeper;
+  TargetController m_target_controller;
   TargetGateway m_gateway;
   InstanceChooser m_chooser;
   MeshAgent m_agent;
   RouterMetrics m_metrics;
   RequestLog m_log;
   RequestRouter m_router;
-  BodyFlowController m_gate;
-  ForwardedRequestHandler m_work_handler;
+  BodyFlowController m_body_flow_controller;
+  ForwardedRequestHandler m_forwarded_handler;
   ReportHandler m_report_handler;
-  SimpleHandler m_readiness_handler;
-  SimpleHandler m_status_handler;
-  AsyncHttpServer m_callers;
-  AsyncHttpServer m_work;
-  AsyncHttpServer m_peers;
-  AsyncHttpServer m_reports;
-  AsyncHttpServer m_readiness;
-  AsyncHttpServer m_status;
+  FunctionHandler m_readiness_handler;
+  FunctionHandler m_status_handler;
+  AsyncHttpServer m_caller_server;
+  AsyncHttpServer m_forwarded_server;
+  AsyncHttpServer m_mesh_server;
+  AsyncHttpServer m_report_server;
+  AsyncHttpServer m_readiness_server;
+  AsyncHttpServer m_status_server;
   bool m_is_stopping = false;
 };
 
@@ -217,20 +221,24 @@
       m_peer_pool(m_loop, m_clock, {}),
       m_store_pool(m_loop, m_clock, {}),
       m_store(m_store_pool, {file.store}),
-      m_config(m_loop, m_clock, m_store, m_decoder, *this),
+      m_config(m_loop, m_clock, m_store, m_config_decoder, *this),
       m_transfer(m_loop, m_clock, m_config, m_peer_pool, m_monitor),
-      m_keeper(m_loop,
-               m_clock,
-               KeeperSettings(file),
-               m_dialect,
-               m_target_pool,
-               *this),
-      m_gateway(m_loop, m_clock, m_dialect, m_keeper, m_target_pool),
+      m_target_controller(m_loop,
+                          m_clock,
+                          MakeTargetControllerSettings(file),
+                          m_wire_protocol,
+                          m_target_pool,
+                          *this),
+      m_gateway(m_loop,
+                m_clock,
+                m_wire_protocol,
+                m_target_controller,
+                m_target_pool),
       m_chooser(m_clock, file.zone),
       m_agent(m_loop,
               m_clock,
               m_timing,
-              IdentityOf(settings, file),
+              MakeIdentity(settings, file),
               m_store,
               m_config,
               m_transfer,
@@ -240,29 +248,43 @@
       m_log(m_clock,
             {settings.log_failures_per_second,
              settings.log_successes_per_second}),
-      m_router({m_loop, m_clock, m_dialect, m_config, m_agent, m_gateway,
+      m_router({m_loop, m_clock, m_wire_protocol, m_config, m_agent, m_gateway,
                 m_chooser, m_peer_pool, m_metrics, m_log},
                file.service),
-      m_gate(m_loop, m_clock, file.link_mbps * kBytesPerMegabit),
-      m_work_handler(m_clock, m_gateway, m_gate, m_log),
-      m_report_handler(m_keeper),
+      m_body_flow_controller(m_loop,
+                             m_clock,
+                             file.link_mbps * kBytesPerMegabit),
+      m_forwarded_handler(m_clock, m_gateway, m_body_flow_controller, m_log),
+      m_report_handler(m_target_controller),
       m_readiness_handler([this](const HttpRequest&) {
         return HttpResponse::WithStatus(IsReady() ? kOk : kUnavailable);
       }),
       m_status_handler(
           [this](const HttpRequest& request) { return AnswerStatus(request); }),
-      m_callers(m_loop, m_clock, CallerServer(settings, file), m_router),
-      m_work(m_loop, m_clock, WorkServer(file), m_work_handler),
-      m_peers(m_loop, m_clock, ServerAt(OwnAddress(file, 0)), m_agent),
-      m_reports(m_loop, m_clock, StatusServer(file.reports), m_report_handler),
-      m_readiness(m_loop,
-                  m_clock,
-                  StatusServer(file.readiness),
-                  m_readiness_handler),
-      m_status(m_loop,
-               m_clock,
-               StatusServer(OwnAddress(file, 1)),
-               m_status_handler) {}
+      m_caller_server(m_loop,
+                      m_clock,
+                      MakeCallerServerSettings(settings, file),
+                      m_router),
+      m_forwarded_server(m_loop,
+                         m_clock,
+                         MakeForwardedServerSettings(file),
+                         m_forwarded_handler),
+      m_mesh_server(m_loop,
+                    m_clock,
+                    MakeServerSettings(MeshAddress(file, 0)),
+                    m_agent),
+      m_report_server(m_loop,
+                      m_clock,
+                      MakeStatusServerSettings(file.reports),
+                      m_report_handler),
+      m_readiness_server(m_loop,
+                         m_clock,
+                         MakeStatusServerSettings(file.readiness),
+                         m_readiness_handler),
+      m_status_server(m_loop,
+                      m_clock,
+                      MakeStatusServerSettings(MeshAddress(file, 1)),
+                      m_status_handler) {}
 
 void RouterNode::Implementation::Run() {
   spdlog::info(
@@ -286,10 +308,10 @@
       divided.insert(name);
   }
   m_agent.SetShardedServices(std::move(divided));
-  m_callers.SetIdleTimeout(config.limits.idle_timeout);
+  m_caller_server.SetIdleTimeout(config.limits.idle_timeout);
   const std::size_t header_bytes = config.limits.max_header_bytes;
-  m_callers.SetMaxHeaderBytes(header_bytes);
-  m_work.SetMaxHeaderBytes(kHopHeaderFactor * header_bytes);
+  m_caller_server.SetMaxHeaderBytes(header_bytes);
+  m_forwarded_server.SetMaxHeaderBytes(kForwardedHeaderFactor * header_bytes);
   // The leader may not have it yet.
   if (m_agent.should_read_store())
     m_agent.TriggerHeartbeat();
@@ -304,26 +326,26 @@
 }
 
 void RouterNode::Implementation::FillHeartbeat(Heartbeat& heartbeat) {
-  heartbeat.target = m_keeper.MakeHeartbeatTarget();
-  heartbeat.released = m_keeper.MakeHeartbeatReleases();
+  heartbeat.target = m_target_controller.MakeHeartbeatTarget();
+  heartbeat.released = m_target_controller.MakeHeartbeatReleases();
   heartbeat.slot_request_counts = m_gateway.TakeSlotRequestCounts();
   heartbeat.mean_service_time_us = m_gateway.mean_service_time_us();
   heartbeat.crash_suspects = m_gateway.TakeCrashSuspects();
 }
 
 void RouterNode::Implementation::OnReply(const HeartbeatReply& reply) {
-  m_keeper.SetLease(m_agent.lease_until());
+  m_target_controller.SetLease(m_agent.lease_until());
   if (!reply.crash_suspects.empty())
     m_gateway.MergeCrashSuspects(reply.crash_suspects);
 }
 
 void RouterNode::Implementation::OnViewChanged() {
-  m_keeper.SetLongestLease(m_agent.max_lease());
-  m_keeper.OnView(m_agent.view(), m_agent.identity().address);
+  m_target_controller.SetLongestLease(m_agent.max_lease());
+  m_target_controller.OnView(m_agent.view(), m_agent.identity().address);
   m_chooser.Refresh(m_agent.view());
   const std::size_t nodes =
       std::max<std::size_t>(1, m_agent.view().members().size());
-  m_router.SetRetryBurst(m_file.extra_retries * kRetryPart /
+  m_router.SetRetryBurst(m_file.mesh_retry_burst * kRetryFraction /
                          static_cast<double>(nodes));
   m_router.OnViewChanged();
 }
@@ -332,27 +354,27 @@
   boost::asio::steady_timer timer(m_loop);
   int ticks = 0;
   while (true) {
-    timer.expires_after(kTick);
+    timer.expires_after(kTickInterval);
     co_await timer.async_wait(boost::asio::use_awaitable);
     m_monitor.OnTimerFired(m_clock.Now() - timer.expiry());
-    m_keeper.OnView(m_agent.view(), m_agent.identity().address);
-    m_keeper.Tick();
+    m_target_controller.OnView(m_agent.view(), m_agent.identity().address);
+    m_target_controller.Tick();
     m_gateway.Tick();
-    m_gate.Tick();
+    m_body_flow_controller.Tick();
     if (++ticks % kTicksPerRefresh != 0)
       continue;
     m_chooser.Refresh(m_agent.view());
-    m_target_pool.Sweep();
-    m_keeper.CloseIdleConnections();
-    m_peer_pool.Sweep();
-    m_store_pool.Sweep();
+    m_target_pool.CloseExpired();
+    m_target_controller.CloseIdleConnections();
+    m_peer_pool.CloseExpired();
+    m_store_pool.CloseExpired();
   }
 }
 
 Task<> RouterNode::Implementation::WatchSettings() {
   boost::asio::steady_timer timer(m_loop);
   while (true) {
-    timer.expires_after(m_settings.settings_check);
+    timer.expires_after(m_settings.settings_check_interval);
     co_await timer.async_wait(boost::asio::use_awaitable);
     Reload("file-changed");
   }
@@ -367,7 +389,7 @@
                  file.service);
     // Addresses stay: they belong to the host, and sockets listen on them.
     m_file.service = file.service;
-    m_file.extra_retries = file.extra_retries;
+    m_file.mesh_retry_burst = file.mesh_retry_burst;
     m_router.SetOriginService(file.service);
   } catch (const platform::SettingsFileError& error) {
     spdlog::error("event=settings-unreadable cause={} reason=\"{}\"", cause,
@@ -395,28 +417,30 @@
   const Clock::TimePoint began = m_clock.Now();
   m_agent.SetLeaving();
   const auto passed = [this, began] { return m_clock.Now() - began; };
-  m_callers.StopKeeping();
-  while (passed() < kUnreadyBeforeClose ||
-         (!m_keeper.HasNothingToGiveBack() && passed() < kLongestHandover)) {
-    timer.expires_after(kTick);
+  m_caller_server.DisableKeepAlive();
+  while (passed() < kReadinessPropagationDelay ||
+         (!m_target_controller.HasNothingToGiveBack() &&
+          passed() < kMaxHandoverTime)) {
+    timer.expires_after(kTickInterval);
     co_await timer.async_wait(boost::asio::use_awaitable);
   }
-  m_callers.Close();
-  m_work.Close();
-  const auto longest = m_file.grace - kBeforeKill;
+  m_caller_server.Close();
+  m_forwarded_server.Close();
+  const auto longest = m_file.termination_grace - kTerminationMargin;
   const auto connections = [this] {
-    return m_callers.connection_count() + m_work.connection_count();
+    return m_caller_server.connection_count() +
+           m_forwarded_server.connection_count();
   };
   const auto leads_alone = [this] {
     return m_agent.is_leader() && m_agent.view().members().size() > 1;
   };
   while ((connections() > 0 || leads_alone()) && passed() < longest) {
-    timer.expires_after(kTick);
+    timer.expires_after(kTickInterval);
     co_await timer.async_wait(boost::asio::use_awaitable);
   }
   spdlog::info("event=stopped in_flight={} held_ranges={}",
-               m_callers.in_flight() + m_work.in_flight(),
-               m_keeper.held_range_count());
+               m_caller_server.in_flight() + m_forwarded_server.in_flight(),
+               m_target_controller.held_range_count());
   m_loop.stop();
 }
 
@@ -448,10 +472,10 @@
                                .count();
   state["longest_lease_ms"] = m_agent.max_lease().count();
   state["config_version"] = m_config.version();
-  state["target"] = {{"id", m_keeper.incarnation().id},
-                     {"service", m_keeper.service()},
-                     {"serves", m_keeper.IsServing()},
-                     {"held_ranges", m_keeper.held_range_count()},
+  state["target"] = {{"id", m_target_controller.incarnation().id},
+                     {"service", m_target_controller.service()},
+                     {"serves", m_target_controller.IsServing()},
+                     {"held_ranges", m_target_controller.held_range_count()},
                      {"running", m_gateway.running()},
                      {"waiting", m_gateway.waiting()}};
   for (const MeshMember* member : m_agent.view().members()) {
@@ -486,9 +510,9 @@
   add("citrongrade_target_mean_work_seconds",
       m_gateway.mean_service_time_us() / 1e6);
   add("citrongrade_target_connections_opened_total",
-      static_cast<double>(m_target_pool.opened()));
+      static_cast<double>(m_target_pool.opened_count()));
   add("citrongrade_held_ranges",
-      static_cast<double>(m_keeper.held_range_count()));
+      static_cast<double>(m_target_controller.held_range_count()));
   add("citrongrade_is_leader", m_agent.is_leader() ? 1 : 0);
   add("citrongrade_epoch", static_cast<double>(m_agent.view().epoch()));
   add("citrongrade_lease_left_seconds",
--- a/programs/citrongrade-router/router_settings.h
+++ b/programs/citrongrade-router/router_settings.h
@@ -13,13 +13,13 @@
   // Where other nodes reach this one; empty: at the settings file's address.
   // Another one where an address is translated on the way.
   std::string published_ip;
-  bool only_check = false;
+  bool check_only = false;
   bool verbose = false;
   // Log lines a second for each event.
   double log_failures_per_second = 10;
   double log_successes_per_second = 1;
   // How often the settings file is looked at for a change without a signal.
-  std::chrono::milliseconds settings_check{1000};
+  std::chrono::milliseconds settings_check_interval{1000};
   // A longer body is refused: bodies are held whole.
   std::size_t max_body_bytes = std::size_t{8} << 20U;
 
--- a/programs/citrongradectl/nodes_command.cc
+++ b/programs/citrongradectl/nodes_command.cc
@@ -20,7 +20,7 @@
 std::uint32_t CountSlots(const MeshState& state, const MemberId& member) {
   std::uint32_t count = 0;
   for (const auto& [id, table] : state.services()) {
-    count += table.CountOf(member);
+    count += table.CountOwnedBy(member);
   }
   return count;
 }
--- a/tests/fuzz_codecs.cc
+++ b/tests/fuzz_codecs.cc
@@ -31,8 +31,8 @@
 const MemberId kMember{NodeId("n"), Incarnation(1)};
 
 std::vector<Record> SampleRecords() {
-  const std::vector<SlotRun> runs = {{SlotIndex(0), 8, kMember},
-                                     {SlotIndex(9), 1, kMember}};
+  const std::vector<OwnedSlotRange> runs = {{SlotIndex(0), 8, kMember},
+                                            {SlotIndex(9), 1, kMember}};
   JoinRecord join;
   join.node = kMember.node;
   join.availability_zone = AvailabilityZone("derby");
