--- a/modules/coordination/load/target_picker.h
+++ b/modules/coordination/load/target_picker.h
@@ -32,12 +32,12 @@
 // as the others.
 //
 // Targets of the own availability zone go first while the better of two has
-// capacity left (score below kMaxLocalUtilization). Where latencies are
-// reported relative to the target latency (OnTargetLatencyRatio()), a target of
-// the own zone has capacity left as long as its answers are within that: a
-// slower target near by is as good for the caller, and traffic between zones is
-// expensive. By slowness alone, a third of the requests left a zone whose
-// target was merely the slower one.
+// capacity left (utilization times slowness below kMaxLocalUtilization). Where
+// latencies are reported relative to the target latency
+// (OnTargetLatencyRatio()), a target of the own zone has capacity left as long
+// as its answers are within that: a slower target near by is as good for the
+// caller, and traffic between zones is expensive. By slowness alone, a third of
+// the requests left a zone whose target was merely the slower one.
 //
 // Use one picker for each WorkClass. With one for both, uploads outstanding at
 // a target moved short requests to the other targets, alternating with the
