--- a/modules/coordination/mesh/lease_duration_controller.h
+++ b/modules/coordination/mesh/lease_duration_controller.h
@@ -58,7 +58,8 @@
   // may contain either this value or m_stored_max.
   std::chrono::milliseconds m_pending_max;
   std::chrono::milliseconds m_desired;
-  // Time at which m_desired last changed.
+  // Time of the last change of m_desired. Since then no longer lease than
+  // m_desired has been granted.
   Clock::TimePoint m_desired_since;
 };
 
--- a/modules/coordination/mesh/ownership_model_test.cc
+++ b/modules/coordination/mesh/ownership_model_test.cc
@@ -185,7 +185,7 @@
   }
 
   std::vector<Hold> m_holds;
-  // Requests for these ranges are still running until their time.
+  // Requests for these ranges run until Hold::until.
   std::vector<Hold> m_releasing;
   std::vector<PollingHoldTracker::ReleasedRange> m_released;
 };
