--- a/modules/transport/mesh/forward_result.cc
+++ b/modules/transport/mesh/forward_result.cc
@@ -31,8 +31,7 @@
   const auto result =
       std::from_chars(text.data(), text.data() + text.size(), number);
   if (result.ec != std::errc())
-    throw MalformedMessageError(
-        "malformed number in header Mesh-Result or Mesh-Times");
+    throw MalformedMessageError("not a result of another node");
   text.remove_prefix(static_cast<std::size_t>(result.ptr - text.data()));
   if (!text.empty())
     text.remove_prefix(1);
@@ -117,7 +116,7 @@
   const std::optional<std::string> value =
       TakeHeader(response.head.headers, kHeader);
   if (!value)
-    throw MalformedMessageError("header Mesh-Result is missing");
+    throw MalformedMessageError("an answer without a result");
   const ForwardTimings times = TakeTimes(response.head.headers);
   if (*value == kAnswered) {
     ForwardResult answered = Answered(std::move(response));
@@ -130,7 +129,7 @@
   const int retry_ms = ReadNumber(text);
   const bool has_arrived = ReadNumber(text) != 0;
   if (error < 0 || error > kLastError)
-    throw MalformedMessageError("unknown error code in header Mesh-Result");
+    throw MalformedMessageError("not an error of another node");
   ForwardResult result;
   result.outcome = not_run ? RequestOutcome::kNotRun : RequestOutcome::kUnknown;
   result.error = static_cast<RequestErrorCode>(error);
--- a/modules/transport/mesh/forwarded_request_handler.cc
+++ b/modules/transport/mesh/forwarded_request_handler.cc
@@ -36,9 +36,8 @@
   metadata.soft_time_left -= transit + body_time;
   ForwardResult result;
   if (metadata.time_left <= std::chrono::milliseconds(0)) {
-    result =
-        ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
-                              "the deadline passed before the request arrived");
+    result = ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
+                                   "its time was over before it came here");
   } else {
     result = co_await m_gateway.Run(std::move(request), metadata, context);
   }
@@ -70,11 +69,10 @@
       sent + metadata.time_left - service_time);
   if (permit)
     co_return std::nullopt;
-  ForwardResult result =
-      ForwardResult::NotRun(RequestErrorCode::kOverloaded,
-                            "the body can't arrive before the deadline",
-                            std::chrono::ceil<std::chrono::milliseconds>(
-                                m_body_flow_controller.DrainTime()));
+  ForwardResult result = ForwardResult::NotRun(
+      RequestErrorCode::kOverloaded, "its body can't come in time",
+      std::chrono::ceil<std::chrono::milliseconds>(
+          m_body_flow_controller.DrainTime()));
   result.times.transit = std::chrono::floor<std::chrono::milliseconds>(transit);
   result.times.body = std::chrono::floor<std::chrono::milliseconds>(
       m_clock.Now() - context.arrived());
--- a/modules/transport/mesh/request_router.cc
+++ b/modules/transport/mesh/request_router.cc
@@ -201,7 +201,7 @@
   ForwardResult result;
   if (routed.is_sharded && !metadata.key) {
     result = ForwardResult::NotRun(RequestErrorCode::kMissingKey,
-                                   "the request has no key");
+                                   "the request carries no key");
   } else {
     result = co_await RouteWithRetries(request, route, routed, context);
   }
@@ -236,9 +236,9 @@
         routed.excluded.insert(*member);
       }
     } else {
-      result = ForwardResult::NotRun(RequestErrorCode::kNoOwner,
-                                     "no member can run the request now",
-                                     kRetryAfterNoOwner);
+      result =
+          ForwardResult::NotRun(RequestErrorCode::kNoOwner,
+                                "nobody can run it now", kRetryAfterNoOwner);
     }
     if (result.has_answer() || result.outcome == RequestOutcome::kUnknown)
       ++routed.possible_runs;
@@ -280,7 +280,7 @@
       std::chrono::floor<milliseconds>(routed.soft_deadline - now);
   if (metadata.time_left <= milliseconds(0)) {
     co_return ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
-                                    "the deadline has passed");
+                                    "its time is over");
   }
   if (member == m_dependencies.agent.identity().address) {
     ForwardResult result =
@@ -290,8 +290,7 @@
   const MeshMember* found = m_dependencies.agent.view().FindMember(member);
   if (found == nullptr) {
     co_return ForwardResult::NotRun(RequestErrorCode::kNoOwner,
-                                    "the member is no longer in the view",
-                                    kRetryAfterNoOwner);
+                                    "its node is gone", kRetryAfterNoOwner);
   }
   const MeshMember owner = *found;
   co_return co_await Forward(request, owner, metadata, context);
@@ -320,7 +319,7 @@
     m_dependencies.peers.Release(address, std::move(connection));
     co_return ForwardResult::NotRun(
         RequestErrorCode::kDeadlinePassed,
-        "the deadline passed before the request was forwarded");
+        "its time was over before it was passed on");
   }
   metadata.sender_id = m_dependencies.agent.incarnation();
   metadata.sent_at = clock.Now().time_since_epoch();
--- a/modules/transport/mesh/target_gateway.cc
+++ b/modules/transport/mesh/target_gateway.cc
@@ -115,13 +115,13 @@
 std::optional<ForwardResult> TargetGateway::CheckServable(
     const ForwardMetadata& metadata) const {
   if (m_controller.service() != metadata.service) {
-    return ForwardResult::NotRun(
-        RequestErrorCode::kNoOwner,
-        "this node's target belongs to another service", kRetryAfterMove);
+    return ForwardResult::NotRun(RequestErrorCode::kNoOwner,
+                                 "this node's target is of another service",
+                                 kRetryAfterMove);
   }
   if (!m_controller.IsServing()) {
     return ForwardResult::NotRun(RequestErrorCode::kTargetUnavailable,
-                                 "the target is gone or draining",
+                                 "the target is gone or leaves",
                                  kRetryAfterTargetLoss);
   }
   if (!metadata.key)
@@ -131,7 +131,7 @@
   if (hold_left == Clock::Duration::zero()) {
     if (m_controller.IsBeingReleased(slot)) {
       return ForwardResult::NotRun(RequestErrorCode::kLeaseLost,
-                                   "the key is moving to another target",
+                                   "the key moves to another target",
                                    RetryAfterMove());
     }
     return ForwardResult::NotRun(RequestErrorCode::kNoOwner,
@@ -141,10 +141,9 @@
   const Clock::Duration min_hold = std::min<Clock::Duration>(
       kMinRenewedHold, m_admission.ExpectedServiceTime(metadata.route));
   if (hold_left < min_hold) {
-    return ForwardResult::NotRun(
-        RequestErrorCode::kLeaseLost,
-        "the target's hold would end before the request completes",
-        RetryAfterMove());
+    return ForwardResult::NotRun(RequestErrorCode::kLeaseLost,
+                                 "the target's hold would end before the work",
+                                 RetryAfterMove());
   }
   return std::nullopt;
 }
@@ -173,9 +172,8 @@
   }
   const std::uint64_t fingerprint = ComputeFingerprint(request);
   if (m_poison_detector->IsQuarantined(RequestFingerprint(fingerprint))) {
-    auto refusal =
-        ForwardResult::NotRun(RequestErrorCode::kQuarantined,
-                              "earlier runs of the request crashed targets");
+    auto refusal = ForwardResult::NotRun(RequestErrorCode::kQuarantined,
+                                         "its runs crashed targets");
     CountResult(refusal);
     co_return refusal;
   }
@@ -248,7 +246,7 @@
     co_return admitted;
   }
   co_return ForwardResult::NotRun(
-      RequestErrorCode::kOverloaded, "the request can't be completed in time",
+      RequestErrorCode::kOverloaded, "it can't be done in time",
       std::chrono::ceil<milliseconds>(m_admission.DrainTime()));
 }
 
@@ -279,7 +277,7 @@
   if (context.ProbeCallerGone()) {
     m_pool.Release(address, std::move(connection));
     co_return ForwardResult::NotRun(RequestErrorCode::kCancelled,
-                                    "the caller closed the connection");
+                                    "its caller is gone");
   }
   if (auto refusal = CheckServable(metadata)) {
     m_pool.Release(address, std::move(connection));
@@ -291,9 +289,8 @@
       std::chrono::floor<milliseconds>(deadline - started) - kReplyAllowance;
   if (left <= milliseconds(0)) {
     m_pool.Release(address, std::move(connection));
-    co_return ForwardResult::NotRun(
-        RequestErrorCode::kDeadlinePassed,
-        "the deadline passed before the request was admitted");
+    co_return ForwardResult::NotRun(RequestErrorCode::kDeadlinePassed,
+                                    "its time was over before its turn");
   }
   TargetRequestInfo target_info;
   target_info.request_id = metadata.request_id;
@@ -340,7 +337,7 @@
     context.ClearCancelCallback();
     if (context.is_caller_gone()) {
       co_return ForwardResult::Unknown(RequestErrorCode::kCancelled,
-                                       "the caller closed the connection");
+                                       "its caller is gone");
     }
     OnConnectionBroken(m_running_fingerprints[ticket]);
     co_return ForwardResult::Unknown(RequestErrorCode::kTargetFailed,
@@ -355,15 +352,13 @@
     ForwardResult refused = ForwardResult::NotRun(
         response_info.is_misdirected ? RequestErrorCode::kLeaseLost
                                      : RequestErrorCode::kTargetRefused,
-        "the target refused the request without running it",
-        kRetryAfterRefusal);
+        "the target refused it without running it", kRetryAfterRefusal);
     refused.reached_target = true;
     return refused;
   }
   if (!response_info.is_authentic) {
-    return ForwardResult::Unknown(
-        RequestErrorCode::kTruncatedAnswer,
-        "the response is not marked as the target's own");
+    return ForwardResult::Unknown(RequestErrorCode::kTruncatedAnswer,
+                                  "the answer lacks the target's mark");
   }
   RemoveHopByHopHeaders(response.head.headers);
   return ForwardResult::Answered(std::move(response));
