--- a/modules/coordination/load/target_ejection.cc
+++ b/modules/coordination/load/target_ejection.cc
@@ -126,7 +126,7 @@
     CloseWindows();
   }
 
-  bool MayReceive(const TargetId& id) const {
+  bool IsEligible(const TargetId& id) const {
     const auto found = m_entries.find(id);
     if (found == m_entries.end()) {
       return false;
@@ -410,7 +410,7 @@
 }
 
 bool TargetEjection::IsEligible(const TargetId& id) const {
-  return m_impl->MayReceive(id);
+  return m_impl->IsEligible(id);
 }
 
 TargetEjection::State TargetEjection::StateOf(const TargetId& id) const {
