--- a/modules/state/mesh/config_change.cc
+++ b/modules/state/mesh/config_change.cc
@@ -66,7 +66,7 @@
 
 RoutingConfig ConfigChange::ApplyTo(const RoutingConfig& base) const {
   assert((from_version == 0 || from_version == base.version) &&
-         "the change leads from another version");
+         "the change starts from another version");
   RoutingConfig config;
   config.version = to_version;
   config.limits = limits;
--- a/modules/state/mesh/config_change.h
+++ b/modules/state/mesh/config_change.h
@@ -10,28 +10,28 @@
 
 namespace citrongrade {
 
-// What leads from one version of the configuration to a later one: as long as
-// the difference, however long the configuration is. Immutable once made.
+// Difference between two versions of the routing configuration. Its size grows
+// with the difference, not with the configuration. Immutable once built.
 struct ConfigChange {
-  // 0: from nothing, so everything is named.
+  // 0: the change starts from an empty configuration and contains everything.
   std::uint64_t from_version = 0;
   std::uint64_t to_version = 0;
   std::vector<std::string> removed_routes;
-  // New or other than before.
+  // Routes that are new or changed.
   std::vector<RouteRule> routes;
   std::vector<std::string> removed_services;
   std::vector<RoutedService> services;
   CallerLimits limits;
-  // Position in the store's log behind the later version's document, from where
-  // the store can be followed; nothing: not known.
+  // Position in the store's log right after the later version's document, from
+  // which to follow the store. Not set if unknown.
   std::optional<std::uint64_t> store_next;
 
   static ConfigChange Full(const RoutingConfig& config);
   static ConfigChange Between(const RoutingConfig& older,
                               const RoutingConfig& newer);
 
-  // `base` has to be of from_version; for a change from nothing it is not
-  // looked at. Routes of the result stand in the order of their names.
+  // `base` must be version `from_version`; it is ignored if that is 0. The
+  // routes of the result are sorted by name.
   RoutingConfig ApplyTo(const RoutingConfig& base) const;
 
   friend auto operator<=>(const ConfigChange&, const ConfigChange&) = default;
--- a/modules/state/mesh/config_change_test.cc
+++ b/modules/state/mesh/config_change_test.cc
@@ -26,7 +26,8 @@
   return config;
 }
 
-// A route moved, one is gone and one is new, as is a service.
+// One route has a new destination, one is removed and one is new; so are
+// services.
 RoutingConfig Newer() {
   RoutingConfig config = Older();
   config.version = 9;
@@ -39,17 +40,19 @@
 
 }  // namespace
 
-TEST_CASE("a change leads from one version to the other") {
+TEST_CASE("applying a change to the older version gives the newer version") {
   const ConfigChange change = ConfigChange::Between(Older(), Newer());
   CHECK(change.routes.size() == 2);
   CHECK(change.ApplyTo(Older()) == Newer());
 }
 
-TEST_CASE("a change from nothing names everything and needs no base") {
+TEST_CASE("a full change contains everything and ignores the base") {
   CHECK(ConfigChange::Full(Newer()).ApplyTo(Older()) == Newer());
 }
 
-TEST_CASE("a change is as long as the difference, not as the configuration") {
+TEST_CASE(
+    "the size of a change depends on the difference, not on the "
+    "configuration") {
   RoutingConfig older = Older();
   for (int i = 0; i < 3000; ++i)
     older.routes.push_back(Route("route-" + std::to_string(i), "one"));
--- a/modules/state/mesh/config_history.cc
+++ b/modules/state/mesh/config_history.cc
@@ -7,7 +7,7 @@
 namespace citrongrade {
 
 bool ConfigHistory::Add(ConfigPtr config) {
-  assert(config && "a version is a configuration");
+  assert(config && "config must not be null");
   if (config->version <= version())
     return false;
   if (m_newest)
@@ -23,7 +23,7 @@
 }
 
 ConfigChange ConfigHistory::ChangeFrom(std::uint64_t version) const {
-  assert(m_newest && "there is no version to lead to");
+  assert(m_newest && "no configuration was added yet");
   const RoutingConfig* before = FindPrevious(version);
   return before == nullptr ? ConfigChange::Full(*m_newest)
                            : ConfigChange::Between(*before, *m_newest);
--- a/modules/state/mesh/config_history.h
+++ b/modules/state/mesh/config_history.h
@@ -9,27 +9,29 @@
 
 namespace citrongrade {
 
-// The configuration in force at a node and the few before it, so that others
-// that are a version or two behind can be told the difference alone.
+// Keeps a node's configuration in force and the few versions before it, so that
+// nodes that are a version or two behind can be sent only the difference.
 //
-// How to use it: Add() each version as it comes into force, ChangeFrom() for
-// whoever asks. An older version than the newest is refused: it never comes
-// back. Thread-confined.
+// Call Add() with each version as it comes into force, and ChangeFrom() for
+// each node that asks. Versions older than the newest are refused, so that the
+// configuration never goes back. Use from one thread only.
 class ConfigHistory {
  public:
   using ConfigPtr = std::shared_ptr<const RoutingConfig>;
 
-  // False, and nothing happens, unless it is newer than all before.
+  // Returns false and changes nothing unless the version is newer than all
+  // before.
   bool Add(ConfigPtr config);
 
-  // Nothing until the first one.
+  // Null before the first Add().
   const ConfigPtr& newest() const { return m_newest; }
   std::uint64_t version() const { return m_newest ? m_newest->version : 0; }
 
-  // Whether the difference to that earlier version can still be told.
+  // Whether that earlier version is still kept, so that ChangeFrom() returns
+  // only the difference.
   bool Contains(std::uint64_t version) const;
-  // What leads from `version` to the newest: everything, if that version is not
-  // kept. Needs a newest one.
+  // The change from `version` to the newest one, or the full configuration if
+  // `version` is not kept. Call only after the first Add().
   ConfigChange ChangeFrom(std::uint64_t version) const;
 
  private:
@@ -38,7 +40,7 @@
   static constexpr std::size_t kMaxPreviousVersions = 2;
 
   ConfigPtr m_newest;
-  // The latest first.
+  // Versions before the newest, latest first.
   std::deque<ConfigPtr> m_previous;
 };
 
--- a/modules/state/mesh/config_history_test.cc
+++ b/modules/state/mesh/config_history_test.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("an older configuration never comes back") {
+TEST_CASE("an older or equal configuration version is refused") {
   ConfigHistory history;
   CHECK(history.Add(Version(5)));
   CHECK_FALSE(history.Add(Version(5)));
@@ -24,7 +24,8 @@
   CHECK(history.version() == 5);
 }
 
-TEST_CASE("who is a few versions behind gets the difference, others all") {
+TEST_CASE(
+    "a kept version gets the difference, any other the full configuration") {
   ConfigHistory history;
   for (std::uint64_t version = 1; version <= 4; ++version)
     history.Add(Version(version));
--- a/modules/state/mesh/key_slot.h
+++ b/modules/state/mesh/key_slot.h
@@ -6,11 +6,12 @@
 
 namespace citrongrade {
 
-// Keys of a divided service are numbers from 0 to kKeyCount - 1. What is owned
-// and moved are slots: runs of kKeysPerSlot neighbouring keys. Busy keys lie
-// side by side, so slots are narrow: 60 hot neighbours fall into 8 slots, which
-// as many targets can share. Narrower ones cost more: 2 keys to a slot made
-// single moves too many and the table ten times as long.
+// Keys of a sharded service are numbers from 0 to kKeyCount - 1. They are owned
+// and moved in slots of kKeysPerSlot neighbouring keys. Busy keys are often
+// neighbours, so slots are narrow: 60 neighbouring hot keys fall into 8 slots,
+// which can be spread over 8 targets. Narrower slots cost more: with 2 keys to
+// a slot, too many single moves were needed and the table was ten times as
+// long.
 inline constexpr std::uint32_t kKeyCount = 65'536;
 inline constexpr std::uint32_t kKeysPerSlot = 8;
 inline constexpr std::uint32_t kSlotCount = kKeyCount / kKeysPerSlot;
@@ -30,7 +31,7 @@
   constexpr bool Overlaps(const SlotRange& other) const {
     return first <= other.last && other.first <= last;
   }
-  // The caller must know that the two overlap.
+  // The two ranges must overlap.
   constexpr SlotRange Intersection(const SlotRange& other) const {
     return {std::max(first, other.first), std::min(last, other.last)};
   }
--- a/modules/state/mesh/key_table.cc
+++ b/modules/state/mesh/key_table.cc
@@ -9,13 +9,15 @@
 
 namespace {
 
-void AppendMerged(std::vector<SlotAssignment>& runs, SlotAssignment run) {
-  if (!runs.empty() && runs.back().SameAssignment(run)) {
-    runs.back().range.last = run.range.last;
-    runs.back().version = std::max(runs.back().version, run.version);
+void AppendMerged(std::vector<SlotAssignment>& assignments,
+                  SlotAssignment assignment) {
+  if (!assignments.empty() && assignments.back().SameAssignment(assignment)) {
+    assignments.back().range.last = assignment.range.last;
+    assignments.back().version =
+        std::max(assignments.back().version, assignment.version);
     return;
   }
-  runs.push_back(std::move(run));
+  assignments.push_back(std::move(assignment));
 }
 
 }  // namespace
@@ -33,13 +35,13 @@
 }
 
 std::size_t KeyTable::IndexOf(std::uint32_t slot) const {
-  // The caller must pass a slot of this table: 0 to kSlotCount - 1.
+  // `slot` must be from 0 to kSlotCount - 1.
   assert(slot < kSlotCount);
-  const auto after =
-      std::upper_bound(m_assignments.begin(), m_assignments.end(), slot,
-                       [](std::uint32_t wanted, const SlotAssignment& run) {
-                         return wanted < run.range.first;
-                       });
+  const auto after = std::upper_bound(
+      m_assignments.begin(), m_assignments.end(), slot,
+      [](std::uint32_t wanted, const SlotAssignment& assignment) {
+        return wanted < assignment.range.first;
+      });
   return static_cast<std::size_t>(after - m_assignments.begin()) - 1;
 }
 
@@ -54,14 +56,16 @@
   return std::span(m_assignments).subspan(first, last - first + 1);
 }
 
-void KeyTable::Assign(const SlotAssignment& run) {
-  // The caller must pass a range whose end is not before its start.
-  assert(run.range.first <= run.range.last && run.range.last < kSlotCount);
-  const std::size_t first = IndexOf(run.range.first);
-  const std::size_t last = IndexOf(run.range.last);
-  // With a neighbour on each side, which the run may join. Nothing else is
-  // touched: a whole view is one call for each of its runs, and with the table
-  // copied in each call a small host computed for a second, heard by nobody.
+void KeyTable::Assign(const SlotAssignment& assignment) {
+  // The range must lie within the table and must not end before it starts.
+  assert(assignment.range.first <= assignment.range.last &&
+         assignment.range.last < kSlotCount);
+  const std::size_t first = IndexOf(assignment.range.first);
+  const std::size_t last = IndexOf(assignment.range.last);
+  // Rebuild only the overlapping assignments and one neighbour on each side,
+  // which may merge with the new one. Applying a full view calls this once for
+  // each assignment; when each call copied the table, a small host was busy for
+  // a second, in which no other node heard from it.
   const std::size_t from = first == 0 ? 0 : first - 1;
   const std::size_t to = std::min(last + 2, m_assignments.size());
   std::vector<SlotAssignment> changed;
@@ -69,22 +73,22 @@
   bool placed = false;
   for (std::size_t i = from; i < to; ++i) {
     SlotAssignment& old = m_assignments[i];
-    if (!old.range.Overlaps(run.range)) {
+    if (!old.range.Overlaps(assignment.range)) {
       AppendMerged(changed, std::move(old));
       continue;
     }
-    if (old.range.first < run.range.first) {
+    if (old.range.first < assignment.range.first) {
       SlotAssignment left = old;
-      left.range.last = run.range.first - 1;
+      left.range.last = assignment.range.first - 1;
       AppendMerged(changed, std::move(left));
     }
     if (!placed) {
-      AppendMerged(changed, run);
+      AppendMerged(changed, assignment);
       placed = true;
     }
-    if (old.range.last > run.range.last) {
+    if (old.range.last > assignment.range.last) {
       SlotAssignment right = old;
-      right.range.first = run.range.last + 1;
+      right.range.first = assignment.range.last + 1;
       AppendMerged(changed, std::move(right));
     }
   }
@@ -93,30 +97,31 @@
 
 void KeyTable::ReplaceAssignments(std::size_t from,
                                   std::size_t to,
-                                  std::vector<SlotAssignment> runs) {
+                                  std::vector<SlotAssignment> replacements) {
   const auto begin = m_assignments.begin() + static_cast<std::ptrdiff_t>(from);
   const auto end = m_assignments.begin() + static_cast<std::ptrdiff_t>(to);
   const auto common =
-      static_cast<std::ptrdiff_t>(std::min(runs.size(), to - from));
-  std::move(runs.begin(), runs.begin() + common, begin);
+      static_cast<std::ptrdiff_t>(std::min(replacements.size(), to - from));
+  std::move(replacements.begin(), replacements.begin() + common, begin);
   if (begin + common < end) {
     m_assignments.erase(begin + common, end);
     return;
   }
-  m_assignments.insert(end, std::make_move_iterator(runs.begin() + common),
-                       std::make_move_iterator(runs.end()));
+  m_assignments.insert(end,
+                       std::make_move_iterator(replacements.begin() + common),
+                       std::make_move_iterator(replacements.end()));
 }
 
 bool KeyTable::HasUnowned() const {
   return std::any_of(
       m_assignments.begin(), m_assignments.end(),
-      [](const SlotAssignment& run) { return !run.has_owner(); });
+      [](const SlotAssignment& assignment) { return !assignment.has_owner(); });
 }
 
 std::uint32_t KeyTable::CountOwnedBy(const std::string& owner) const {
   std::uint32_t count = 0;
-  for (const SlotAssignment& run : m_assignments)
-    count += run.owner == owner ? run.range.size() : 0;
+  for (const SlotAssignment& assignment : m_assignments)
+    count += assignment.owner == owner ? assignment.range.size() : 0;
   return count;
 }
 
--- a/modules/state/mesh/key_table.h
+++ b/modules/state/mesh/key_table.h
@@ -12,34 +12,38 @@
 
 namespace citrongrade {
 
-// Neighbouring slots that one target's life got by one assignment.
+// Neighbouring slots that were assigned together to one incarnation of a
+// target.
 struct SlotAssignment {
   SlotRange range;
-  // Mesh address ("ip:port") of the owner's node; empty: nobody owns them.
+  // Mesh address ("ip:port") of the owner's node; empty if the slots have no
+  // owner.
   std::string owner;
-  // They belong to this life of the owner's target, and to no other.
+  // The incarnation of the owner's target that owns the slots; no other one
+  // does.
   TargetIncarnation incarnation;
-  // Fencing token: higher than any with which another target had these slots.
+  // Fencing token: higher than any with which another target held these slots.
   std::uint64_t fence = 0;
-  // What the last holder gave at its release; empty when it gave none.
+  // Handover data from the last holder at its release; empty if it gave none.
   std::string handover;
-  // Set while the owner is to give them back.
+  // Set while the owner is to release the slots.
   NextOwner next;
-  // Version of the view that changed it last.
+  // View version of the last change to this assignment.
   std::uint64_t version = 0;
 
   bool has_owner() const { return !owner.empty(); }
   bool is_moving() const { return next.is_set(); }
-  // All but the range and the version.
+  // Compares everything except the range and the version.
   bool SameAssignment(const SlotAssignment& other) const;
 
   friend auto operator<=>(const SlotAssignment&,
                           const SlotAssignment&) = default;
 };
 
-// Who owns which slots of one divided service: runs in order that together
-// cover all slots. Splits and joins runs as slots are assigned. A value: no
-// clock, no thread. Kin: MeshView holds one for each divided service.
+// The owners of all slots of one sharded service: a sorted list of assignments
+// that together cover all slots. Assignments are split and merged as slots are
+// assigned. A plain value without clock or threads. See also MeshView, which
+// holds one for each sharded service.
 class KeyTable {
  public:
   KeyTable();
@@ -48,11 +52,12 @@
     return m_assignments;
   }
   const SlotAssignment& Find(std::uint32_t slot) const;
-  // The runs that have a part of the range, in order; valid until Assign().
+  // The assignments that overlap the range, in order. Valid until the next
+  // Assign().
   std::span<const SlotAssignment> AssignmentsIn(const SlotRange& range) const;
 
-  // Gives the run's slots its owner, whoever had them before.
-  void Assign(const SlotAssignment& run);
+  // Assigns the slots of the range, whoever owned them before.
+  void Assign(const SlotAssignment& assignment);
 
   bool HasUnowned() const;
   std::uint32_t CountOwnedBy(const std::string& owner) const;
@@ -63,7 +68,7 @@
   std::size_t IndexOf(std::uint32_t slot) const;
   void ReplaceAssignments(std::size_t from,
                           std::size_t to,
-                          std::vector<SlotAssignment> runs);
+                          std::vector<SlotAssignment> replacements);
 
   std::vector<SlotAssignment> m_assignments;
 };
--- a/modules/state/mesh/key_table_test.cc
+++ b/modules/state/mesh/key_table_test.cc
@@ -15,23 +15,25 @@
                               std::uint32_t last,
                               const std::string& owner,
                               std::uint64_t fence) {
-  SlotAssignment run;
-  run.range = {first, last};
-  run.owner = owner;
-  run.fence = fence;
-  return run;
+  SlotAssignment assignment;
+  assignment.range = {first, last};
+  assignment.owner = owner;
+  assignment.fence = fence;
+  return assignment;
 }
 
 }  // namespace
 
-TEST_CASE("a new table has one run that nobody owns") {
+TEST_CASE("a new table has one assignment without an owner") {
   const KeyTable table;
   REQUIRE(table.assignments().size() == 1);
   CHECK(table.HasUnowned());
   CHECK(table.Find(kSlotCount - 1).range == SlotRange{0, kSlotCount - 1});
 }
 
-TEST_CASE("assigning the middle of a run splits it, and giving it back joins") {
+TEST_CASE(
+    "assigning the middle of a range splits it, and assigning it back merges "
+    "it") {
   KeyTable table;
   table.Assign(MakeAssignment(0, kSlotCount - 1, "a", 1));
   table.Assign(MakeAssignment(100, 199, "b", 2));
@@ -45,10 +47,10 @@
   CHECK(table.assignments().size() == 1);
 }
 
-// Random assignments, each checked slot by slot against a plain array: a slot
-// that fell out of the table, or kept an old owner, would be served by nobody
-// or by two.
-TEST_CASE("runs agree with a plain array under random assignments") {
+// Compares random assignments slot by slot with a plain array. A slot that is
+// missing from the table, or keeps an old owner, would be served by nobody or
+// by two targets.
+TEST_CASE("the table matches a plain array under random assignments") {
   std::mt19937 random(7);
   KeyTable table;
   std::vector<std::uint64_t> fences(kSlotCount, 0);
@@ -62,9 +64,9 @@
       fences[slot] = step;
   }
   std::uint32_t next = 0;
-  for (const SlotAssignment& run : table.assignments()) {
-    CHECK(run.range.first == next);
-    next = run.range.last + 1;
+  for (const SlotAssignment& assignment : table.assignments()) {
+    CHECK(assignment.range.first == next);
+    next = assignment.range.last + 1;
   }
   CHECK(next == kSlotCount);
   bool all_agree = true;
@@ -73,8 +75,8 @@
   CHECK(all_agree);
 }
 
-// Two neighbours that could be one run would make every view longer, for ever.
-TEST_CASE("neighbours of one assignment are one run") {
+// Neighbours that are not merged would make every later view longer.
+TEST_CASE("equal neighbouring assignments are merged") {
   std::mt19937 random(11);
   KeyTable table;
   for (int step = 0; step < 500; ++step) {
@@ -82,21 +84,21 @@
     const std::uint32_t last =
         std::min<std::uint32_t>(kSlotCount - 1, first + random() % 600);
     table.Assign(MakeAssignment(first, last, "n", random() % 3));
-    const std::vector<SlotAssignment>& runs = table.assignments();
-    for (std::size_t i = 1; i < runs.size(); ++i)
-      REQUIRE(!runs[i - 1].SameAssignment(runs[i]));
+    const std::vector<SlotAssignment>& assignments = table.assignments();
+    for (std::size_t i = 1; i < assignments.size(); ++i)
+      REQUIRE(!assignments[i - 1].SameAssignment(assignments[i]));
   }
 }
 
-TEST_CASE("the runs of a range are those that have a part of it") {
+TEST_CASE("the assignments of a range are those that overlap it") {
   KeyTable table;
   table.Assign(MakeAssignment(0, 99, "a", 1));
   table.Assign(MakeAssignment(100, 199, "b", 2));
   table.Assign(MakeAssignment(200, kSlotCount - 1, "c", 3));
   const auto owners = [&table](const SlotRange& range) {
     std::string found;
-    for (const SlotAssignment& run : table.AssignmentsIn(range))
-      found += run.owner;
+    for (const SlotAssignment& assignment : table.AssignmentsIn(range))
+      found += assignment.owner;
     return found;
   };
   CHECK(owners({0, 99}) == "a");
--- a/modules/state/mesh/mesh_member.h
+++ b/modules/state/mesh/mesh_member.h
@@ -8,29 +8,29 @@
 
 namespace citrongrade {
 
-// A node and the target beside it, as the mesh knows them.
+// A node and its target, as the mesh knows them.
 struct MeshMember {
   enum class State : std::uint8_t {
-    // Nobody has heard of it lately, or its target is gone.
+    // The node has not been heard from lately, or its target is gone.
     kAbsent,
     kServing,
-    // Its target, or the node itself, is about to leave: no new work.
+    // The target or the node is about to leave and gets no new requests.
     kDraining,
   };
 
-  // "ip:port" where other nodes talk to it. Its identity: no two live nodes
-  // share one.
+  // "ip:port" at which other nodes reach the node. It is the node's identity:
+  // no two live nodes share one.
   std::string address;
-  // Where other nodes send requests for its target.
+  // Address to which other nodes send requests for the target.
   std::string data_address;
   std::string zone;
-  // The service of its target; empty until the target has announced itself.
+  // Service of the target; empty until the target has announced itself.
   std::string service;
   TargetIncarnation target;
-  // Requests that the target runs at once.
+  // Requests that the target runs concurrently.
   std::uint32_t concurrency = 0;
   State state = State::kAbsent;
-  // How fit its host is for the work of a leader, in thousandths.
+  // How fit the host is to lead, in thousandths.
   std::uint32_t leader_fitness_milli = 0;
 
   friend auto operator<=>(const MeshMember&, const MeshMember&) = default;
--- a/modules/state/mesh/mesh_record.h
+++ b/modules/state/mesh/mesh_record.h
@@ -11,19 +11,20 @@
 
 namespace citrongrade {
 
-// What must outlast every process of the mesh. Stored whole, under a condition
-// that nobody else wrote meanwhile, before any of it takes effect.
+// State that must survive the restart of every process of the mesh. It is
+// stored as a whole by a conditional write, which fails if another node wrote
+// in between, and no part takes effect before it is stored.
 struct MeshRecord {
-  // Grows with each leader that claimed the mesh. Fencing tokens contain it, so
-  // that those of a later leader are higher than all before.
+  // Raised by each leader that claims the mesh. Fencing tokens contain it, so
+  // that those of a later leader are higher than all earlier ones.
   std::uint64_t epoch = 0;
-  // Mesh address of that leader.
+  // Mesh address of the leader of this epoch.
   std::string leader;
-  // Mesh addresses of the nodes whose votes make a leader.
+  // Mesh addresses of the nodes that vote for a leader.
   std::vector<std::string> voters;
   std::map<std::string, KeyTable> tables;
-  // Any lease that was granted to a node lasts at most so long; zero: what
-  // MeshTiming::lease says.
+  // Upper bound of the duration of any lease granted to a node. Zero:
+  // MeshTiming::lease applies.
   std::chrono::milliseconds max_lease{0};
 
   friend bool operator==(const MeshRecord&, const MeshRecord&) = default;
--- a/modules/state/mesh/mesh_view.cc
+++ b/modules/state/mesh/mesh_view.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-// What others than its owner need to know of a run.
-SlotAssignment WithoutOwnerDetails(const SlotAssignment& run) {
+// Copies only what nodes other than the owner need to know of an assignment.
+SlotAssignment WithoutOwnerDetails(const SlotAssignment& assignment) {
   SlotAssignment outline;
-  outline.range = run.range;
-  outline.owner = run.owner;
-  outline.fence = run.fence;
+  outline.range = assignment.range;
+  outline.owner = assignment.owner;
+  outline.fence = assignment.fence;
   return outline;
 }
 
@@ -34,15 +34,15 @@
 void MeshView::SetTable(const std::string& service, const KeyTable& table) {
   ++m_version;
   KeyTable& own = m_tables[service];
-  for (SlotAssignment run : table.assignments()) {
-    run.version = m_version;
-    own.Assign(run);
+  for (SlotAssignment assignment : table.assignments()) {
+    assignment.version = m_version;
+    own.Assign(assignment);
   }
 }
 
-void MeshView::Assign(const std::string& service, SlotAssignment run) {
-  run.version = ++m_version;
-  m_tables[service].Assign(run);
+void MeshView::Assign(const std::string& service, SlotAssignment assignment) {
+  assignment.version = ++m_version;
+  m_tables[service].Assign(assignment);
 }
 
 const MeshMember* MeshView::FindMember(const std::string& address) const {
@@ -86,11 +86,13 @@
       delta.members.push_back(entry.member);
   }
   for (const auto& [service, table] : m_tables) {
-    for (const SlotAssignment& run : table.assignments()) {
-      if (run.version <= known)
+    for (const SlotAssignment& assignment : table.assignments()) {
+      if (assignment.version <= known)
         continue;
       delta.assignments.push_back(
-          {service, run.owner == reader ? run : WithoutOwnerDetails(run)});
+          {service, assignment.owner == reader
+                        ? assignment
+                        : WithoutOwnerDetails(assignment)});
     }
   }
   return delta;
@@ -107,8 +109,8 @@
     BeginEpoch(delta.epoch);
   for (const MeshMember& member : delta.members)
     m_members[member.address] = {member, delta.version};
-  for (const ViewDelta::Assignment& run : delta.assignments)
-    m_tables[run.service].Assign(run.assignment);
+  for (const ViewDelta::Assignment& changed : delta.assignments)
+    m_tables[changed.service].Assign(changed.assignment);
   m_version = delta.version;
   return true;
 }
--- a/modules/state/mesh/mesh_view.h
+++ b/modules/state/mesh/mesh_view.h
@@ -11,7 +11,7 @@
 
 namespace citrongrade {
 
-// What changed in a view since a version, or all of it.
+// The changes of a view since a version, or the full view.
 struct ViewDelta {
   struct Assignment {
     std::string service;
@@ -22,7 +22,7 @@
 
   std::uint64_t epoch = 0;
   std::uint64_t version = 0;
-  // It replaces whatever the receiver had.
+  // The delta replaces everything that the receiver has.
   bool is_whole = false;
   std::vector<MeshMember> members;
   std::vector<Assignment> assignments;
@@ -34,36 +34,38 @@
   friend auto operator<=>(const ViewDelta&, const ViewDelta&) = default;
 };
 
-// The mesh as one leader publishes it: members, and owners of slots. Each
-// change gets a version of its own, so that others are sent only what is new to
-// them. A value for one thread. Kin: MeshRecord, the part of it that is stored.
+// The mesh as published by one leader: its members and the owners of slots.
+// Each change gets a version, so that other nodes are sent only what is new to
+// them. A plain value; use from one thread only. See also MeshRecord, the part
+// that is stored.
 class MeshView {
  public:
   std::uint64_t epoch() const { return m_epoch; }
   std::uint64_t version() const { return m_version; }
 
-  // A new leader's view starts anew.
+  // Clears the view for a new leader.
   void BeginEpoch(std::uint64_t epoch);
 
-  // Each raises the version, unless nothing changes.
+  // Each call raises the version, except SetMember() with an unchanged member.
   void SetMember(const MeshMember& member);
   void SetTable(const std::string& service, const KeyTable& table);
-  void Assign(const std::string& service, SlotAssignment run);
+  void Assign(const std::string& service, SlotAssignment assignment);
 
-  // Nothing when there is none.
+  // Null if there is none.
   const MeshMember* FindMember(const std::string& address) const;
   const KeyTable* FindTable(const std::string& service) const;
   std::vector<const MeshMember*> MembersOf(const std::string& service) const;
   const std::map<std::string, KeyTable>& tables() const { return m_tables; }
   std::vector<const MeshMember*> members() const;
 
-  // What the node `reader` needs, which knows `version` of `epoch`. Of what
-  // others own it gets the owner and the fencing token only.
+  // The changes that the node `reader` lacks if it has `version` of `epoch`.
+  // For slots that other nodes own, they hold only the range, the owner and the
+  // fencing token.
   ViewDelta ChangesSince(std::uint64_t epoch,
                          std::uint64_t version,
                          const std::string& reader) const;
-  // Returns false for a delta that is older than what is known, or that does
-  // not fit to it; then nothing changes.
+  // Returns false and changes nothing if the delta is older than this view, or
+  // if it is of a later epoch but not a full view.
   bool Apply(const ViewDelta& delta);
 
  private:
--- a/modules/state/mesh/mesh_view_test.cc
+++ b/modules/state/mesh/mesh_view_test.cc
@@ -17,16 +17,16 @@
 SlotAssignment MakeAssignment(std::uint32_t first,
                               std::uint32_t last,
                               std::uint64_t fence) {
-  SlotAssignment run;
-  run.range = {first, last};
-  run.owner = "a";
-  run.fence = fence;
-  return run;
+  SlotAssignment assignment;
+  assignment.range = {first, last};
+  assignment.owner = "a";
+  assignment.fence = fence;
+  return assignment;
 }
 
 }  // namespace
 
-TEST_CASE("a node that follows by deltas knows what the leader knows") {
+TEST_CASE("a node that applies deltas reaches the leader's view") {
   MeshView leader;
   leader.BeginEpoch(3);
   leader.SetMember(Member("a"));
@@ -43,20 +43,20 @@
   CHECK(leader.ChangesSince(node.epoch(), node.version(), "a").is_empty());
 }
 
-TEST_CASE("a node gets in full what it owns, and in outline what others own") {
+TEST_CASE("a node gets full details only for the slots that it owns") {
   MeshView leader;
   leader.BeginEpoch(3);
-  SlotAssignment run = MakeAssignment(10, 20, 5);
-  run.incarnation = {"t", 7};
-  run.handover = "token";
-  run.next = {"b", {"u", 8}, 6};
-  leader.Assign("divided", run);
+  SlotAssignment assignment = MakeAssignment(10, 20, 5);
+  assignment.incarnation = {"t", 7};
+  assignment.handover = "token";
+  assignment.next = {"b", {"u", 8}, 6};
+  leader.Assign("divided", assignment);
   const auto held = [&leader](const std::string& reader) {
     MeshView node;
     node.Apply(leader.ChangesSince(0, 0, reader));
     return node.FindTable("divided")->Find(15);
   };
-  CHECK(held("a").SameAssignment(run));
+  CHECK(held("a").SameAssignment(assignment));
   CHECK(held("b").owner == "a");
   CHECK(held("b").fence == 5);
   CHECK_FALSE(held("b").incarnation.is_known());
@@ -64,7 +64,7 @@
   CHECK_FALSE(held("b").is_moving());
 }
 
-TEST_CASE("setting what is known already is no news") {
+TEST_CASE("setting an unchanged member does not raise the version") {
   MeshView view;
   view.BeginEpoch(1);
   view.SetMember(Member("a"));
@@ -73,9 +73,9 @@
   CHECK(view.version() == version);
 }
 
-// A deposed leader still answers: a node that took its word after it has heard
-// of the new one would send requests to owners of long ago.
-TEST_CASE("an older leader's view and an overtaken delta change nothing") {
+// A deposed leader still replies. A node that accepted its view after that of
+// the new leader would send requests to outdated owners.
+TEST_CASE("an older leader's view and an outdated delta change nothing") {
   MeshView old_leader;
   old_leader.BeginEpoch(1);
   old_leader.SetMember(Member("old"));
@@ -85,10 +85,10 @@
   REQUIRE(node.Apply(new_leader.ChangesSince(0, 0, "a")));
   CHECK_FALSE(node.Apply(old_leader.ChangesSince(0, 0, "a")));
   CHECK(node.FindMember("old") == nullptr);
-  const ViewDelta overtaken = new_leader.ChangesSince(2, 1, "a");
+  const ViewDelta outdated = new_leader.ChangesSince(2, 1, "a");
   new_leader.SetMember(Member("b"));
   REQUIRE(node.Apply(new_leader.ChangesSince(2, node.version(), "a")));
-  CHECK_FALSE(node.Apply(overtaken));
+  CHECK_FALSE(node.Apply(outdated));
 }
 
 }  // namespace citrongrade
--- a/modules/state/mesh/next_owner.h
+++ b/modules/state/mesh/next_owner.h
@@ -8,14 +8,16 @@
 
 namespace citrongrade {
 
-// To whom keys go once their owner has given them back, or is lost. Stored
-// before the owner is told to give them back: whoever leads then knows from the
-// record alone whose they are, also while the store is away.
+// The owner that keys go to once their current owner has released them or is
+// lost. Stored before the current owner is asked to release them, so that a new
+// leader knows the next owner from the record alone, even while the store is
+// unavailable.
 struct NextOwner {
-  // Mesh address of its node; empty: the keys stay where they are.
+  // Mesh address of the next owner's node; empty: the keys stay with their
+  // owner.
   std::string address;
   TargetIncarnation incarnation;
-  // Fencing token that it gets them by.
+  // Fencing token with which the next owner gets the keys.
   std::uint64_t fence = 0;
 
   bool is_set() const { return !address.empty(); }
--- a/modules/state/mesh/route_index.cc
+++ b/modules/state/mesh/route_index.cc
@@ -29,7 +29,7 @@
   const auto routes = m_hosts.find(name);
   if (routes == m_hosts.end())
     return nullptr;
-  // Prefixes end with a slash: the longest first.
+  // Prefixes end with a slash; try the longest first.
   std::size_t slash = path.rfind('/');
   while (slash != std::string_view::npos) {
     const auto found = routes->second.find(path.substr(0, slash + 1));
--- a/modules/state/mesh/route_index_test.cc
+++ b/modules/state/mesh/route_index_test.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("the longest prefix of the host decides") {
+TEST_CASE("the host's longest matching prefix is used") {
   RoutingConfig config;
   config.routes = {Rule("a.example", "/x/"), Rule("a.example", "/x/y/"),
                    Rule("b.example", "/x/y/z/")};
--- a/modules/state/mesh/routing_config.h
+++ b/modules/state/mesh/routing_config.h
@@ -9,31 +9,31 @@
 
 namespace citrongrade {
 
-// A part of a route's requests that goes to one service.
+// One service that receives a share of a route's requests.
 struct RouteDestination {
   std::string service;
-  // In proportion to the weights of the route's other destinations.
+  // Relative to the weights of the route's other destinations.
   std::uint32_t weight = 1;
 
   friend auto operator<=>(const RouteDestination&,
                           const RouteDestination&) = default;
 };
 
-// Where requests of one host and path prefix go, and how they may be treated.
+// Where requests for one host and path prefix go, and how they are handled.
 struct RouteRule {
   std::string name;
   std::string host;
   // Begins and ends with a slash.
   std::string path_prefix;
-  // May run more than once with the same effect.
+  // Requests may run more than once with the same effect.
   bool is_idempotent = false;
-  // Longest time that a caller is kept waiting.
+  // Longest time that a caller waits for a response.
   std::chrono::milliseconds timeout{1000};
-  // An answer within this time is worth most to its caller.
+  // Target response time: a response within it is worth most to the caller.
   std::chrono::milliseconds target_latency{1000};
   // 0 is the most urgent.
   std::uint32_t priority = 0;
-  // Targets that one request may be sent to, the first included.
+  // Targets that a request may be sent to, including the first one.
   std::uint32_t max_attempts = 1;
   std::vector<RouteDestination> destinations;
 
@@ -52,7 +52,7 @@
   friend auto operator<=>(const RoutedService&, const RoutedService&) = default;
 };
 
-// What callers may send.
+// Limits on callers' requests and connections.
 struct CallerLimits {
   std::uint64_t max_header_bytes = 16'384;
   std::uint64_t max_body_bytes = 64ULL << 20U;
@@ -62,7 +62,8 @@
   friend auto operator<=>(const CallerLimits&, const CallerLimits&) = default;
 };
 
-// One whole version of what operators want. Immutable once read.
+// One complete version of the routing configuration that operators publish.
+// Immutable once read.
 struct RoutingConfig {
   std::uint64_t version = 0;
   std::vector<RouteRule> routes;
--- a/modules/state/mesh/target_incarnation.h
+++ b/modules/state/mesh/target_incarnation.h
@@ -6,12 +6,12 @@
 
 namespace citrongrade {
 
-// One life of one target's process. A target may start again under its old id;
-// it then holds no keys and remembers nothing, so the start time belongs to its
+// One process of a target. A target may restart under the same id; the new
+// process owns no keys and remembers nothing, so the start time is part of its
 // identity.
 struct TargetIncarnation {
   std::string id;
-  // Milliseconds since the Unix epoch, as the target itself states it.
+  // Milliseconds since the Unix epoch, as reported by the target.
   std::int64_t started_unix_ms = 0;
 
   bool is_known() const { return !id.empty(); }
