--- a/modules/state/records/config_kind.h
+++ b/modules/state/records/config_kind.h
@@ -4,11 +4,11 @@
 
 namespace citrongrade {
 
-// What a configuration entry declares.
+// What a configuration entry defines.
 enum class ConfigKind : std::uint8_t {
-  // What a service is: parameters with types, ranges, defaults.
+  // A kind of service: parameters with types, ranges and defaults.
   kTemplate,
-  // A workspace's service: a template and the values of its parameters.
+  // A service of a workspace: a template and the values of its parameters.
   kService,
 };
 
--- a/modules/state/records/config_record.h
+++ b/modules/state/records/config_record.h
@@ -9,13 +9,14 @@
 namespace citrongrade {
 
 // Publishes one configuration entry. Accepted only if `based_on` is the entry's
-// current version (0: there is none yet), so of two operators one is told.
+// current version (0 if there is none yet): of two operators who publish at the
+// same time, the second gets a conflict.
 struct ConfigRecord {
   ConfigKind kind = ConfigKind::kTemplate;
   // A template's name, or "workspace/service".
   std::string name;
   ConfigVersion based_on;
-  // The declaration as JSON text.
+  // The entry's contents as JSON text.
   std::string body;
   std::string operator_name;
 
--- a/modules/state/records/forget_record.h
+++ b/modules/state/records/forget_record.h
@@ -7,8 +7,8 @@
 
 namespace citrongrade {
 
-// An operator declares that a member is gone for good, where neither witnesses
-// nor a restart can show it. Its slots become unowned.
+// An operator declares that a member is permanently gone when neither witnesses
+// nor a restart can prove it. The member's slots become unowned.
 struct ForgetRecord {
   MemberId member;
   std::string operator_name;
--- a/modules/state/records/leave_record.h
+++ b/modules/state/records/leave_record.h
@@ -6,7 +6,7 @@
 
 namespace citrongrade {
 
-// A member that owns no slot any more leaves for good.
+// A member that owns no slots leaves permanently.
 struct LeaveRecord {
   MemberId member;
 
--- a/modules/state/records/snapshot_record.h
+++ b/modules/state/records/snapshot_record.h
@@ -8,14 +8,14 @@
 
 namespace citrongrade {
 
-// One chunk of the whole state as it stood after all records before `taken_at`.
+// One chunk of the complete state after all records before `taken_at`.
 struct SnapshotRecord {
-  // Equal for all chunks of one snapshot.
+  // Shared by all chunks of one snapshot.
   RecordId snapshot;
   LogOffset taken_at;
   std::uint32_t chunk_index = 0;
   std::uint32_t chunk_count = 0;
-  // XXH3 of the whole payload.
+  // XXH3 of the complete payload, over all chunks.
   std::uint64_t payload_hash = 0;
   std::string payload;
 
--- a/modules/state/records/takeover_record.h
+++ b/modules/state/records/takeover_record.h
@@ -4,16 +4,16 @@
 #include <vector>
 
 #include "modules/state/member_id.h"
+#include "modules/state/owned_slot_range.h"
 #include "modules/state/records/testimony.h"
 #include "modules/state/service_id.h"
-#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
-// Takes all slots of a lost member. Valid with testimonies of a majority of its
-// witness set (and of the pending set, if there is one), or, with none, when
-// all runs go to a later incarnation of the lost node on the same boot and
-// peer address.
+// Reassigns all slots of a lost member. Valid with testimonies from a majority
+// of the member's witness set (and of its pending set, if there is one).
+// Without testimonies it is valid if all slots go to a later incarnation of the
+// lost node with the same boot id and peer address.
 struct TakeoverRecord {
   MemberId lost;
   ServiceId service;
--- a/modules/state/records/testimony.h
+++ b/modules/state/records/testimony.h
@@ -7,13 +7,13 @@
 
 namespace citrongrade {
 
-// A witness's word that a member's lease has lapsed and that it will not renew
-// it under this version of the member's witness set.
+// A witness's statement that a member's lease has expired and that the witness
+// will not renew it under this version of the member's witness set.
 struct Testimony {
-  // As named in the witness set.
+  // The witness as named in the witness set.
   MemberId witness;
   WitnessSetVersion version;
-  // The witness restarted since: it speaks for its earlier incarnation, whose
+  // The witness has restarted: it testifies for its earlier incarnation, whose
   // request ids are lost.
   bool without_memory = false;
 
--- a/modules/state/records/unreadable_record.h
+++ b/modules/state/records/unreadable_record.h
@@ -5,7 +5,8 @@
 
 namespace citrongrade {
 
-// A record that this version can't decode. Every node rejects it alike.
+// A record that this version can't decode. Every node rejects it in the same
+// way.
 struct UnreadableRecord {
   std::string reason;
 
--- a/modules/state/records/witness_set_confirmed_record.h
+++ b/modules/state/records/witness_set_confirmed_record.h
@@ -7,11 +7,12 @@
 
 namespace citrongrade {
 
-// A member holds its lease from a majority of its pending witness set, has
-// handed that set its request ids, and counts on the old set no more.
+// Confirms a member's pending witness set: the member holds its lease from a
+// majority of the pending set, has sent that set its request ids, and no longer
+// relies on the old set.
 struct WitnessSetConfirmedRecord {
   MemberId member;
-  // Version (offset of the WitnessSetRecord) of the pending set.
+  // Version of the pending set, which is the offset of its WitnessSetRecord.
   WitnessSetVersion confirmed;
 
   friend auto operator<=>(const WitnessSetConfirmedRecord&,
--- a/modules/state/records/witness_set_record.h
+++ b/modules/state/records/witness_set_record.h
@@ -8,13 +8,15 @@
 
 namespace citrongrade {
 
-// A member proposes the set of witnesses that is to grant its lease. Valid only
-// against the set it names; pending until a WitnessSetConfirmedRecord, and a
-// takeover meanwhile needs a majority of the old set and of the new one.
+// A member proposes the witnesses that are to grant its lease. Valid only if
+// `based_on` is the latest set. The new set is pending until a
+// WitnessSetConfirmedRecord; until then a takeover needs a majority of both the
+// old and the new set.
 struct WitnessSetRecord {
   MemberId member;
-  // The pending set if there is one, else the confirmed one: of several
-  // proposals whose outcome the member does not know, one alone is accepted.
+  // Version of the pending set if there is one, else of the confirmed set. If a
+  // member repeats a proposal because it doesn't know the outcome, only one of
+  // them is accepted.
   WitnessSetVersion based_on;
   std::vector<MemberId> witnesses;
 
