--- a/modules/state/accept_all_config.h
+++ b/modules/state/accept_all_config.h
@@ -4,7 +4,7 @@
 
 namespace citrongrade {
 
-// Takes every configuration record as valid, for tests of other rules.
+// Accepts every configuration record. For tests of other rules.
 class AcceptAllConfig final : public ConfigValidator {
  public:
   std::optional<std::string> FindProblem(
--- a/modules/state/apply_result.h
+++ b/modules/state/apply_result.h
@@ -8,11 +8,11 @@
 
 namespace citrongrade {
 
-// What the replay made of one record.
+// Result of applying one log record to the replayed state.
 struct ApplyResult {
-  // Empty: accepted.
+  // Not set if the record was accepted.
   std::optional<RejectReason> rejected;
-  // For people, for example which field of a configuration is wrong.
+  // Text for operators, for example which configuration field is wrong.
   std::string detail;
 
   bool accepted() const { return !rejected.has_value(); }
--- a/modules/state/key_rule.h
+++ b/modules/state/key_rule.h
@@ -6,19 +6,19 @@
 
 namespace citrongrade {
 
-// Where a request carries its key.
+// Which part of a request holds its key.
 struct KeyRule {
   enum class Source : std::uint8_t {
-    // The service is not divided by key.
+    // The service is not sharded.
     kNone,
     kHeader,
-    // Part of the path after "/{workspace}/{service}/", counted from 0.
+    // Segment of the path after "/{workspace}/{service}/", counted from 0.
     kPathPart,
     kQueryField,
   };
 
   Source source = Source::kNone;
-  // Header or query field.
+  // Name of the header or query field.
   std::string name;
   std::uint32_t path_part = 0;
 
--- a/modules/state/late_append_test.cc
+++ b/modules/state/late_append_test.cc
@@ -9,7 +9,7 @@
 
 const ServiceId kService{WorkspaceName("mesh"), ServiceName("alpha")};
 
-// A log of three members, each with the next one as its witness.
+// A log with three members, each with the next one as its witness.
 class ThreeMemberLog {
  public:
   ThreeMemberLog() : m_state(m_accept_all) {
@@ -53,11 +53,11 @@
 
 }  // namespace
 
-// An owner's transfer gets no answer, so it appends another copy; that one
-// lands first. The slot comes back to the owner, which serves it. Now the first
-// copy lands: were it accepted, the receiver would serve the slot while the
-// owner, which has not read so far, still does.
-TEST_CASE("a transfer that lands late does not take a slot that came back") {
+// An owner's transfer gets no reply, so the owner appends a second copy, which
+// arrives first. The slot returns to the owner, then the first copy arrives. If
+// it were accepted, the receiver would serve the slot while the owner, which
+// has not read that record yet, still serves it.
+TEST_CASE("a delayed transfer does not take a slot that was returned") {
   ThreeMemberLog log;
   const TransferRecord first = log.MakeTransfer(0, 1);
   CHECK(log.Apply(log.MakeTransfer(0, 1)).accepted());
@@ -66,10 +66,12 @@
   CHECK(log.state().FindSlots(kService)->CountOwnedBy(log.member(0)) == 4);
 }
 
-// A node restarts; its new process leaves before it took back the slots of the
-// earlier one. A node that replayed this and one that restored it from a
-// snapshot must count the same members as current, or their tables part.
-TEST_CASE("a snapshot has the same current members as the replay") {
+// A node's new process leaves before it has taken back the slots of the earlier
+// one. Nodes that replay this and nodes that restore a snapshot must agree on
+// the current members, or their slot tables differ.
+TEST_CASE(
+    "a state restored from a snapshot has the same current members as the "
+    "replay") {
   ThreeMemberLog log;
   JoinRecord join;
   join.node = NodeId("0");
@@ -86,10 +88,11 @@
         *log.state().FindCurrentMember(join.node));
 }
 
-// A member proposes a set of witnesses twice, since the first proposal got no
-// answer. It has come to count on the second when the first lands: were it
-// accepted, others could take over by witnesses that the member does not ask.
-TEST_CASE("a proposal that lands late does not replace a pending set") {
+// A member proposes a witness set twice, since the first proposal got no reply.
+// It already relies on the second when the first one arrives. If that were
+// accepted, others could take over with witnesses that the member doesn't ask
+// for its lease.
+TEST_CASE("a delayed witness set proposal does not replace a pending set") {
   ThreeMemberLog log;
   const WitnessSetVersion base =
       log.state().FindMember(log.member(0))->witnesses.version;
--- a/modules/state/log_entry.h
+++ b/modules/state/log_entry.h
@@ -29,7 +29,7 @@
                             ConfigRecord,
                             SnapshotRecord>;
 
-// A record as it stands in the log.
+// A record with its offset and id in the log.
 struct LogEntry {
   LogOffset offset;
   RecordId id;
--- a/modules/state/member.h
+++ b/modules/state/member.h
@@ -9,12 +9,13 @@
 
 namespace citrongrade {
 
-// What the log says of one member.
+// State of one member as replayed from the log.
 struct Member {
   MemberId id;
   JoinRecord announcement;
   WitnessSet witnesses;
-  // Proposed and not yet confirmed; a takeover needs a majority of both.
+  // Proposed but not yet confirmed. While it is set, a takeover needs a
+  // majority of both sets.
   std::optional<WitnessSet> pending_witnesses;
 
   friend auto operator<=>(const Member&, const Member&) = default;
--- a/modules/state/member_id.h
+++ b/modules/state/member_id.h
@@ -6,8 +6,8 @@
 
 namespace citrongrade {
 
-// One life of a node: what owns slots, holds leases and bears witness. A node
-// that restarts is another member.
+// One incarnation of a node: the identity that owns slots, holds leases and
+// acts as a witness. A node that restarts becomes another member.
 struct MemberId {
   NodeId node;
   Incarnation incarnation;
--- a/modules/state/mesh_image.h
+++ b/modules/state/mesh_image.h
@@ -8,13 +8,13 @@
 #include "modules/state/config_entry.h"
 #include "modules/state/member.h"
 #include "modules/state/member_id.h"
-#include "modules/state/service_id.h"
 #include "modules/state/owned_slot_range.h"
+#include "modules/state/service_id.h"
 #include "modules/state/takeover_history.h"
 
 namespace citrongrade {
 
-// The whole replayed state as plain values: what a snapshot carries.
+// The complete replayed state as plain values: the contents of a snapshot.
 struct MeshImage {
   struct Service {
     ServiceId id;
--- a/modules/state/mesh_state.cc
+++ b/modules/state/mesh_state.cc
@@ -29,12 +29,12 @@
   return std::adjacent_find(members.begin(), members.end()) != members.end();
 }
 
-bool RangesOverlap(std::vector<OwnedSlotRange> runs) {
-  std::sort(runs.begin(), runs.end());
-  for (std::size_t i = 1; i < runs.size(); ++i) {
+bool RangesOverlap(std::vector<OwnedSlotRange> ranges) {
+  std::sort(ranges.begin(), ranges.end());
+  for (std::size_t i = 1; i < ranges.size(); ++i) {
     const std::uint64_t end_of_previous =
-        std::uint64_t{runs[i - 1].first.value()} + runs[i - 1].count;
-    if (end_of_previous > runs[i].first.value()) {
+        std::uint64_t{ranges[i - 1].first.value()} + ranges[i - 1].count;
+    if (end_of_previous > ranges[i].first.value()) {
       return true;
     }
   }
@@ -42,17 +42,17 @@
 }
 
 void AssignAll(SlotTable& table,
-               const std::vector<OwnedSlotRange>& runs,
+               const std::vector<OwnedSlotRange>& ranges,
                Epoch epoch) {
-  for (const OwnedSlotRange& run : runs) {
-    table.Assign(run, epoch);
+  for (const OwnedSlotRange& range : ranges) {
+    table.Assign(range, epoch);
   }
 }
 
-std::uint64_t CountSlots(const std::vector<OwnedSlotRange>& runs) {
+std::uint64_t CountSlots(const std::vector<OwnedSlotRange>& ranges) {
   std::uint64_t count = 0;
-  for (const OwnedSlotRange& run : runs) {
-    count += run.count;
+  for (const OwnedSlotRange& range : ranges) {
+    count += range.count;
   }
   return count;
 }
@@ -72,8 +72,8 @@
   m_departed.insert(image.departed.begin(), image.departed.end());
   for (const MeshImage::Service& service : image.services) {
     SlotTable table(service.slot_count, service.hash_seed);
-    for (const auto& [run, epoch] : service.runs) {
-      table.Assign(run, epoch);
+    for (const auto& [range, epoch] : service.runs) {
+      table.Assign(range, epoch);
     }
     m_services.emplace(service.id, std::move(table));
   }
@@ -84,8 +84,8 @@
 }
 
 ApplyResult MeshState::Apply(const LogEntry& entry) {
-  // The caller skipped or repeated entries: its table would differ from that of
-  // other nodes.
+  // If the caller skipped or repeated an entry, this slot table would differ
+  // from that of other nodes.
   assert(entry.offset == m_next_offset);
   m_next_offset = entry.offset.Next();
   return std::visit(
@@ -201,10 +201,10 @@
   if (!IsCurrent(member.id)) {
     return Reject(RejectReason::kSupersededMember);
   }
-  // A pending set may be replaced: the member still counts on its confirmed set
-  // then, which every takeover needs as well. The proposal names the set that
-  // it replaces, so that one that lands late can't replace a set that the
-  // member has come to count on.
+  // A pending set may be replaced, since until then the member still relies on
+  // its confirmed set, of which every takeover needs a majority as well. The
+  // proposal names the set that it replaces, so that a delayed append can't
+  // replace a set that the member has already started to rely on.
   const WitnessSetVersion latest = member.pending_witnesses.has_value()
                                        ? member.pending_witnesses->version
                                        : member.witnesses.version;
@@ -257,8 +257,9 @@
   if (owner->announcement.service != service) {
     return Reject(RejectReason::kUnknownService);
   }
-  // Without witnesses nobody could ever show that the owner's lease has lapsed,
-  // and its slots would be stuck with it. A mesh of one has nobody to ask.
+  // Without witnesses nobody could prove that the owner's lease has expired,
+  // and its slots could never be reassigned. A mesh with a single member is
+  // exempt: it has no other member to act as a witness.
   const bool alone = m_current.size() == 1;
   if (owner->witnesses.witnesses.empty() && !alone) {
     return Reject(RejectReason::kOwnerWithoutWitnesses);
@@ -269,19 +270,19 @@
 ApplyResult MeshState::CheckOwnedRanges(
     const ServiceId& service,
     const SlotTable& table,
-    const std::vector<OwnedSlotRange>& runs,
+    const std::vector<OwnedSlotRange>& ranges,
     const std::optional<MemberId>& owner_before) const {
-  if (RangesOverlap(runs)) {
+  if (RangesOverlap(ranges)) {
     return Reject(RejectReason::kBadSlots);
   }
-  for (const OwnedSlotRange& run : runs) {
-    if (!table.Contains(run)) {
+  for (const OwnedSlotRange& range : ranges) {
+    if (!table.Contains(range)) {
       return Reject(RejectReason::kBadSlots);
     }
-    if (!table.IsOwnedBy(run, owner_before)) {
+    if (!table.IsOwnedBy(range, owner_before)) {
       return Reject(RejectReason::kNotOwner);
     }
-    ApplyResult owner = CheckNewOwner(service, run.owner);
+    ApplyResult owner = CheckNewOwner(service, range.owner);
     if (!owner.accepted()) {
       return owner;
     }
@@ -302,10 +303,10 @@
       table.hash_seed() != record.hash_seed) {
     return Reject(RejectReason::kBadSlots);
   }
-  ApplyResult runs =
+  ApplyResult ownership =
       CheckOwnedRanges(record.service, table, record.runs, std::nullopt);
-  if (!runs.accepted()) {
-    return runs;
+  if (!ownership.accepted()) {
+    return ownership;
   }
   const auto placed = m_services.try_emplace(record.service, table);
   AssignAll(placed.first->second, record.runs, Epoch(offset.value()));
@@ -321,14 +322,14 @@
   if (record.runs.empty()) {
     return Reject(RejectReason::kBadSlots);
   }
-  ApplyResult runs =
+  ApplyResult ownership =
       CheckOwnedRanges(record.service, found->second, record.runs, record.from);
-  if (!runs.accepted()) {
-    return runs;
+  if (!ownership.accepted()) {
+    return ownership;
   }
   const Epoch as_of(record.as_of.value());
-  for (const OwnedSlotRange& run : record.runs) {
-    if (found->second.LatestEpoch(run) >= as_of) {
+  for (const OwnedSlotRange& range : record.runs) {
+    if (found->second.LatestEpoch(range) >= as_of) {
       return Reject(RejectReason::kStaleVersion);
     }
   }
@@ -350,7 +351,8 @@
   if (!evidence.accepted()) {
     return evidence;
   }
-  // A slot left out would have an owner that nobody can ever take over from.
+  // A slot that is left out would keep an owner from which no takeover is
+  // possible any more.
   const auto found = m_services.find(record.service);
   const bool has_slots = found != m_services.end();
   const std::uint32_t owned =
@@ -360,10 +362,10 @@
   }
   const Epoch epoch(offset.value());
   if (has_slots) {
-    ApplyResult runs = CheckOwnedRanges(record.service, found->second,
-                                        record.runs, record.lost);
-    if (!runs.accepted()) {
-      return runs;
+    ApplyResult ownership = CheckOwnedRanges(record.service, found->second,
+                                             record.runs, record.lost);
+    if (!ownership.accepted()) {
+      return ownership;
     }
     AssignAll(found->second, record.runs, epoch);
   }
@@ -407,7 +409,7 @@
 
 ApplyResult MeshState::ApplyRecord(LogOffset /*offset*/,
                                    const SnapshotRecord& /*record*/) {
-  // It tells a node that has replayed everything nothing new.
+  // A node that has replayed the whole log learns nothing from a snapshot.
   return Accept();
 }
 
@@ -422,7 +424,7 @@
     return Accept();
   }
   if (lost.witnesses.witnesses.empty() && !OwnsSlots(lost.id)) {
-    // It never came to hold a lease, so none has to lapse.
+    // The member never held a lease, so no lease has to expire.
     return Accept();
   }
   for (const Testimony& testimony : record.testimonies) {
@@ -455,10 +457,11 @@
   if (!testimony.without_memory) {
     return true;
   }
-  // A later incarnation speaks for the one that was asked. That is safe only if
-  // the earlier process is gone: were it merely paused, it could wake and renew
-  // the lease that its successor declares dead. Same boot and same listening
-  // address show that it is gone.
+  // A later incarnation of the witness testifies for the one named in the set.
+  // This is safe only if the earlier process has ended: a process that is
+  // merely paused could resume and renew the lease that its successor has
+  // declared expired. The same boot id and the same listening address prove
+  // that it has ended.
   const Member* later = FindCurrentMember(witness->member.node);
   return later != nullptr &&
          later->id.incarnation > witness->member.incarnation &&
@@ -496,8 +499,8 @@
                           before.boot_id == now.boot_id &&
                           before.peer_address == now.peer_address;
   return same_place && std::all_of(record.runs.begin(), record.runs.end(),
-                                   [later](const OwnedSlotRange& run) {
-                                     return run.owner == later->id;
+                                   [later](const OwnedSlotRange& range) {
+                                     return range.owner == later->id;
                                    });
 }
 
@@ -506,8 +509,8 @@
   const auto current = m_current.find(id.node);
   if (current != m_current.end() && current->second == id.incarnation) {
     m_current.erase(current);
-    // An earlier incarnation that still owns slots is the latest one again, as
-    // it is for a node that reads this state from a snapshot.
+    // An earlier incarnation that still owns slots becomes the latest one
+    // again, as it does on a node that restores this state from a snapshot.
     for (const auto& [member, entry] : m_members) {
       if (member.node == id.node) {
         m_current[id.node] = member.incarnation;
--- a/modules/state/mesh_state.h
+++ b/modules/state/mesh_state.h
@@ -24,58 +24,60 @@
 
 class ConfigValidator;
 
-// What the platform's log says: members, witness sets, slot owners and
-// configuration. Feed it every entry in order of offset; it accepts or rejects
-// each by rules that depend on nothing else, so all nodes agree.
+// The state replayed from the platform's log: members, witness sets, slot
+// owners and configuration. Pass it every entry in order of offset. Whether an
+// entry is accepted depends only on the entries before it, so all nodes reach
+// the same state.
 //
-// It knows no time and holds no lease: an owner here may serve only while its
-// lease runs as well (LeaseHolder in coordination).
+// It has no clock and tracks no leases: an owner in this state may serve only
+// while its lease is valid as well (LeaseHolder in coordination).
 class MeshState {
  public:
-  // The validator outlives the state.
+  // `validator` must outlive the state.
   explicit MeshState(const ConfigValidator& validator);
   MeshState(const ConfigValidator& validator, const MeshImage& image);
 
-  // Applies the entry at next_offset(). Asserts when entries are skipped.
+  // Applies the entry at next_offset(). Asserts that no entry is skipped.
   ApplyResult Apply(const LogEntry& entry);
 
   // Offset of the entry to apply next.
   LogOffset next_offset() const { return m_next_offset; }
 
-  // A member that the log counts: current, or superseded and still owning
-  // slots. Null when there is none.
+  // A current member, or a superseded one that still owns slots. Null if there
+  // is none.
   const Member* FindMember(const MemberId& id) const;
-  // The latest incarnation of a node. Null when it never joined or has gone.
+  // The latest incarnation of a node. Null if the node never joined or is gone.
   const Member* FindCurrentMember(const NodeId& node) const;
-  // All members, superseded ones too, in order of id.
+  // All members, including superseded ones, in order of id.
   const std::map<MemberId, Member>& members() const { return m_members; }
-  // Latest incarnations only, in order of node id.
+  // Only the latest incarnation of each node, in order of node id.
   std::vector<const Member*> CurrentMembers() const;
-  // Members that left, or that an operator declared gone, as long as a witness
-  // set names them.
+  // Whether the member left or was declared gone by an operator. Remembered
+  // only as long as a witness set names the member.
   bool IsDeparted(const MemberId& id) const;
 
-  // Null until the first assignment.
+  // Null before the first assignment.
   const SlotTable* FindSlots(const ServiceId& service) const;
   const std::map<ServiceId, SlotTable>& services() const { return m_services; }
   bool OwnsSlots(const MemberId& id) const;
 
-  // Null when there is none in force.
+  // Null if no version is in force.
   const ConfigEntry* FindConfig(ConfigKind kind, const std::string& name) const;
   using ConfigKey = std::pair<ConfigKind, std::string>;
   const std::map<ConfigKey, ConfigEntry>& config() const { return m_config; }
 
-  // The takeover that gave slots this epoch. Null for an epoch of another
-  // record, and for all but the latest kMaxTakeoverHistories takeovers.
+  // The takeover that assigned slots with this epoch. Null if the epoch comes
+  // from another kind of record, or if the takeover is older than the latest
+  // kMaxTakeoverHistories.
   const TakeoverHistory* FindTakeover(Epoch epoch) const;
 
   MeshImage Image() const;
 
-  // A takeover's history is of use for some seconds after it; 73 members a day
-  // come and go at target size, so this covers days.
+  // A takeover's history is needed for some seconds only. At the planned size
+  // 73 members join and leave a day, so 256 entries cover days.
   static constexpr std::size_t kMaxTakeoverHistories = 256;
-  // 16 times the slots of the largest service planned for; a larger number in a
-  // record is a mistake that would cost every node memory.
+  // 16 times the slots of the largest planned service. A larger number in a
+  // record is a mistake that would cost memory on every node.
   static constexpr std::uint32_t kMaxSlotCount = 1U << 20;
 
  private:
@@ -93,25 +95,27 @@
   ApplyResult ApplyRecord(LogOffset offset, const SnapshotRecord& record);
 
   bool IsCurrent(const MemberId& id) const;
-  // Whether slots of the service may go to this member.
+  // Checks that slots of the service may be assigned to this member.
   ApplyResult CheckNewOwner(const ServiceId& service,
                             const MemberId& new_owner) const;
-  // Whether all runs may go from `owner_before` (nobody when empty) to the
-  // owners that they name.
+  // Checks that all slots belong to `owner_before` (to nobody if it is empty)
+  // and may go to the owners that the record names.
   ApplyResult CheckOwnedRanges(
       const ServiceId& service,
       const SlotTable& table,
-      const std::vector<OwnedSlotRange>& runs,
+      const std::vector<OwnedSlotRange>& ranges,
       const std::optional<MemberId>& owner_before) const;
   ApplyResult CheckTestimonies(const Member& lost,
                                const TakeoverRecord& record) const;
-  // `testimony` is the word of a witness of `set` on this very set.
+  // Whether the testimony comes from a witness of `set` and refers to this
+  // version of the set.
   bool IsValidTestimony(const WitnessSet& set,
                         const Testimony& testimony) const;
-  // Witnesses of `set` that testified, or that are gone for good.
+  // Number of witnesses of `set` that testified or have departed.
   std::size_t CountTestimonies(const WitnessSet& set,
                                const TakeoverRecord& record) const;
-  // The runs go to a later incarnation of the lost node on the same boot.
+  // Whether all slots go to a later incarnation of the lost node with the same
+  // boot id and peer address.
   bool IsRestartInPlace(const Member& lost, const TakeoverRecord& record) const;
   void RemoveMember(const MemberId& id);
   void RemoveSupersededWithoutSlots(const NodeId& node);
--- a/modules/state/mesh_state_test.cc
+++ b/modules/state/mesh_state_test.cc
@@ -15,7 +15,8 @@
 const ServiceId kService{WorkspaceName("instituto"), ServiceName("sorteio")};
 constexpr std::uint32_t kSlotCount = 16;
 
-// Appends records to a state as the log would, and gives out their offsets.
+// Applies records to a state as if they were read from the log, and assigns
+// offsets.
 class ReplayedLog {
  public:
   const MeshState& state() const { return m_state; }
@@ -55,8 +56,8 @@
     return version;
   }
 
-  ApplyResult Assign(std::vector<OwnedSlotRange> runs) {
-    return Append(AssignRecord{kService, kSlotCount, 0, std::move(runs)});
+  ApplyResult Assign(std::vector<OwnedSlotRange> ranges) {
+    return Append(AssignRecord{kService, kSlotCount, 0, std::move(ranges)});
   }
 
  private:
@@ -96,9 +97,10 @@
 }  // namespace
 
 TEST_CASE(
-    "two members that claim the same free slots: the log's order decides") {
-  // Both read the slots as free and append an assignment. The first one in the
-  // log wins, and the second is told that the slots are owned.
+    "of two members that claim the same unowned slots, the first in the log "
+    "wins") {
+  // Both members see the slots as unowned and append an assignment. The first
+  // one in the log is accepted, the second one is rejected.
   ReplayedLog log;
   const MemberId a = log.Join("a");
   const MemberId b = log.Join("b");
@@ -109,7 +111,7 @@
   CHECK(log.state().FindSlots(kService)->CountOwnedBy(a) == kSlotCount);
 }
 
-TEST_CASE("an assignment is taken whole or not at all") {
+TEST_CASE("an assignment is applied completely or not at all") {
   ReplayedLog log;
   const MemberId a = log.Join("a");
   const ApplyResult result =
@@ -119,9 +121,10 @@
 }
 
 TEST_CASE(
-    "slots don't go to a member without witnesses, except in a mesh of one") {
-  // Nobody could ever show that such an owner's lease has lapsed, so a loss
-  // would leave its slots unserved until an operator steps in.
+    "slots can't be assigned to a member without witnesses, unless it is "
+    "alone") {
+  // Nobody could prove that such an owner's lease has expired, so if it were
+  // lost, its slots would not be served until an operator intervenes.
   ReplayedLog log;
   const MemberId a = log.Join("a");
   CHECK(log.Assign({{SlotIndex(0), 1, a}}).accepted());
@@ -135,21 +138,21 @@
   const Testimony from_b{mesh.b, mesh.version};
   const Testimony from_c{mesh.c, mesh.version};
 
-  SUBCASE("one of three is too few") {
+  SUBCASE("one of three is not a majority") {
     CHECK(mesh.log.Append(mesh.Takeover(mesh.b, {from_b})).rejected ==
           RejectReason::kNotEnoughTestimonies);
   }
-  SUBCASE("one that testifies twice counts once") {
+  SUBCASE("a witness that testifies twice counts once") {
     CHECK(mesh.log.Append(mesh.Takeover(mesh.b, {from_b, from_b})).rejected ==
           RejectReason::kNotEnoughTestimonies);
   }
-  SUBCASE("a member that is no witness does not count") {
+  SUBCASE("a testimony of a member that is not a witness is rejected") {
     const MemberId stranger = mesh.log.Join("e");
     const Testimony strange{stranger, mesh.version};
     CHECK(mesh.log.Append(mesh.Takeover(mesh.b, {from_b, strange})).rejected ==
           RejectReason::kBadTestimony);
   }
-  SUBCASE("two of three are enough, and the same takeover again is rejected") {
+  SUBCASE("two of three are a majority, and a repeated takeover is rejected") {
     CHECK(mesh.log.Append(mesh.Takeover(mesh.b, {from_b, from_c})).accepted());
     CHECK(mesh.OwnerOfFirstSlot() == mesh.b);
     CHECK(mesh.log.Append(mesh.Takeover(mesh.c, {from_b, from_c})).rejected ==
@@ -163,9 +166,9 @@
 }
 
 TEST_CASE("a takeover by witnesses that the owner has replaced is rejected") {
-  // The owner counts on b, c, e since its confirmation. Word of b and c about
-  // the old set says nothing of the lease that it holds now: the takeover would
-  // make two owners.
+  // Since its confirmation the owner relies on b, c and e. Testimonies of b and
+  // c for the old set say nothing about its current lease: accepting the
+  // takeover would make two owners.
   OwnedMesh mesh;
   const MemberId e = mesh.log.Join("e");
   mesh.log.GiveWitnesses(mesh.owner, {mesh.b, mesh.c, e});
@@ -176,9 +179,9 @@
 }
 
 TEST_CASE("while a witness set is pending, a takeover needs both majorities") {
-  // The owner may count on the new set already and its confirmation may be on
-  // the way. Until the log has it, nobody can know which of the two it counts
-  // on, so both have to say that its lease has lapsed.
+  // The owner may already rely on the new set while its confirmation is not yet
+  // in the log. Until then nobody knows which set it relies on, so majorities
+  // of both must testify that its lease has expired.
   OwnedMesh mesh;
   const MemberId e = mesh.log.Join("e");
   const MemberId f = mesh.log.Join("f");
@@ -198,29 +201,30 @@
 }
 
 TEST_CASE(
-    "a restarted witness speaks for its earlier life only from the same boot") {
-  // c restarts. If its earlier process were merely paused on another host, it
-  // could wake and renew the owner's lease after c's word was counted.
+    "a restarted witness testifies for its earlier process only on the same "
+    "boot") {
+  // c restarts. If its earlier process were only paused on another host, it
+  // could resume and renew the owner's lease after c's testimony was counted.
   OwnedMesh mesh;
-  const std::vector<Testimony> word = {{mesh.b, mesh.version, false},
-                                       {mesh.c, mesh.version, true}};
+  const std::vector<Testimony> testimonies = {{mesh.b, mesh.version, false},
+                                              {mesh.c, mesh.version, true}};
 
   SUBCASE("same boot, same address") {
     mesh.log.Join("c");
-    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, word)).accepted());
+    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, testimonies)).accepted());
   }
   SUBCASE("another boot") {
     mesh.log.Join("c", "another boot");
-    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, word)).rejected ==
+    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, testimonies)).rejected ==
           RejectReason::kBadTestimony);
   }
   SUBCASE("another address") {
     mesh.log.Join("c", "boot", "elsewhere");
-    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, word)).rejected ==
+    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, testimonies)).rejected ==
           RejectReason::kBadTestimony);
   }
-  SUBCASE("it did not restart at all") {
-    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, word)).rejected ==
+  SUBCASE("the witness did not restart") {
+    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, testimonies)).rejected ==
           RejectReason::kBadTestimony);
   }
 }
@@ -229,23 +233,23 @@
     "a witness counts as closed when it left or was forgotten, not when it "
     "was taken over") {
   OwnedMesh mesh;
-  const std::vector<Testimony> word = {{mesh.b, mesh.version}};
+  const std::vector<Testimony> testimonies = {{mesh.b, mesh.version}};
 
   SUBCASE("left") {
     CHECK(mesh.log.Append(LeaveRecord{mesh.d}).accepted());
-    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, word)).accepted());
+    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, testimonies)).accepted());
   }
   SUBCASE("forgotten by an operator") {
     CHECK(mesh.log.Append(ForgetRecord{mesh.d, "operator"}).accepted());
-    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, word)).accepted());
+    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, testimonies)).accepted());
   }
-  SUBCASE("taken over: it may be paused, and grant the lease when it wakes") {
+  SUBCASE("taken over: it may be paused, and grant the lease when it resumes") {
     const WitnessSetVersion version =
         mesh.log.state().FindMember(mesh.c)->witnesses.version;
     const TakeoverRecord of_witness{
         mesh.c, kService, {{mesh.b, version}, {mesh.d, version}}, {}};
     CHECK(mesh.log.Append(of_witness).accepted());
-    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, word)).rejected ==
+    CHECK(mesh.log.Append(mesh.Takeover(mesh.b, testimonies)).rejected ==
           RejectReason::kNotEnoughTestimonies);
   }
 }
@@ -261,13 +265,13 @@
     CHECK(mesh.log.Append(mesh.Takeover(again, {})).accepted());
     CHECK(mesh.OwnerOfFirstSlot() == again);
   }
-  SUBCASE("another host of the same name proves nothing") {
+  SUBCASE("another boot: possibly another host with the same node name") {
     const MemberId again = mesh.log.Join("a", "another boot");
     mesh.log.GiveWitnesses(again, {mesh.b, mesh.c, mesh.d});
     CHECK(mesh.log.Append(mesh.Takeover(again, {})).rejected ==
           RejectReason::kNotEnoughTestimonies);
   }
-  SUBCASE("nobody else can do so in its name") {
+  SUBCASE("another member can't take the slots without testimonies") {
     mesh.log.Join("a");
     CHECK(mesh.log.Append(mesh.Takeover(mesh.b, {})).rejected ==
           RejectReason::kNotEnoughTestimonies);
@@ -292,10 +296,10 @@
             .rejected == RejectReason::kUnknownMember);
 }
 
-TEST_CASE("a transfer that lands late takes no slot that came back since") {
-  // The owner hands a slot over, hears no answer from the log, and by and by
-  // gets the slot back. Then its first append lands after all: accepted, it
-  // would take the slot from an owner that serves it.
+TEST_CASE("a repeated transfer is rejected if its slots were returned since") {
+  // The owner's first transfer gets no reply from the log, and later the slot
+  // returns to the owner. Then the first append arrives after all. If it were
+  // accepted, it would take the slot from an owner that serves it.
   OwnedMesh mesh;
   const LogOffset before = mesh.log.state().next_offset();
   const OwnedSlotRange to_b{SlotIndex(3), 2, mesh.b};
@@ -309,8 +313,8 @@
 }
 
 TEST_CASE("a takeover that leaves out slots of the lost member is rejected") {
-  // The lost member's entry goes with the takeover; a slot left out would have
-  // an owner that nobody can ever take over from.
+  // The takeover removes the lost member. A slot that is left out would keep an
+  // owner from which no takeover is possible any more.
   OwnedMesh mesh;
   const TakeoverRecord partial{mesh.owner,
                                kService,
@@ -325,7 +329,9 @@
         RejectReason::kMemberOwnsSlots);
 }
 
-TEST_CASE("of two operators who publish at once, the log's order tells one") {
+TEST_CASE(
+    "of two operators who publish at once, the second in the log gets a "
+    "conflict") {
   ReplayedLog log;
   const ConfigRecord first{ConfigKind::kTemplate, "sampling", {}, "{}", "ana"};
   const ConfigRecord second{ConfigKind::kTemplate, "sampling", {}, "[]", "rui"};
@@ -337,10 +343,10 @@
   CHECK(entry->operator_name == "ana");
 }
 
-TEST_CASE("a state restored from its image goes on as the original does") {
-  // A node that was away longer than the log's retention starts from a
-  // snapshot. Whatever the log holds next, it must come to the same table as
-  // the others.
+TEST_CASE("a restored state applies later records like the original") {
+  // A node that was away for longer than the log's retention starts from a
+  // snapshot. It must then reach the same state as the other nodes from the
+  // records that follow.
   OwnedMesh mesh;
   mesh.log.Join("c");
   mesh.log.Propose(mesh.owner, {mesh.b, mesh.d});
--- a/modules/state/owned_slot_range.h
+++ b/modules/state/owned_slot_range.h
@@ -8,7 +8,8 @@
 
 namespace citrongrade {
 
-// `count` neighbouring slots, from `first` on, that go to `owner`.
+// `count` neighbouring slots, starting at `first`, and the member that they are
+// assigned to.
 struct OwnedSlotRange {
   SlotIndex first;
   std::uint32_t count = 0;
--- a/modules/state/reject_reason.h
+++ b/modules/state/reject_reason.h
@@ -4,7 +4,7 @@
 
 namespace citrongrade {
 
-// Why the replay did not accept a record. Every node comes to the same one.
+// Why a record was rejected during replay. Every node reaches the same result.
 enum class RejectReason : std::uint8_t {
   kUnreadable,
   kUnknownMember,
@@ -18,7 +18,8 @@
   kUnknownService,
   kBadSlots,
   kNotOwner,
-  // The slot's new owner has no witnesses that could end its lease.
+  // The new owner has no witnesses that could testify that its lease has
+  // expired.
   kOwnerWithoutWitnesses,
   kNotEnoughTestimonies,
   kBadTestimony,
--- a/modules/state/request_error_code.h
+++ b/modules/state/request_error_code.h
@@ -4,8 +4,9 @@
 
 namespace citrongrade {
 
-// Why a request got no answer of a target. The name in a refusal's body is the
-// enumerator without its k, in lower case with hyphens ("unknown-service").
+// Why a request got no response from a target. In the body of a refusal the
+// name is the enumerator without its k, in lower case with hyphens
+// ("unknown-service").
 enum class RequestErrorCode : std::uint8_t {
   kUnknownService,
   kMissingKey,
@@ -15,28 +16,29 @@
   kMissingRequestId,
   kBadRequestId,
   kBadDeadline,
-  // This node has not read the configuration and the table to their end.
+  // This node has not yet read the configuration and the slot table completely.
   kNodeNotReady,
   kNodeDraining,
-  // Nobody owns the key's slot, or its owner can't be reached.
+  // The key's slot has no owner, or the owner can't be reached.
   kNoOwner,
   kOwnerUnreachable,
-  // The lease lapsed or the slot moved before the work was given to the target.
+  // The lease expired or the slot moved before the request was passed to the
+  // target.
   kLeaseLost,
-  // The request ids that a lost owner ran are not yet collected.
+  // The request ids that a lost owner ran are still being collected.
   kRecovering,
-  // The request ids that a lost owner ran are gone until the horizon has
-  // passed.
+  // The request ids that a lost owner ran can't be recovered. Lasts until the
+  // resend horizon has passed.
   kHistoryLost,
-  // The id ran, or may have run, before.
+  // A request with this id ran, or may have run, before.
   kAlreadyRun,
-  // The id is running now.
+  // A request with this id is running now.
   kInProgress,
-  // The memory of request ids is full.
+  // The memory for request ids is full.
   kRequestMemoryFull,
   kOverloaded,
   kDeadlinePassed,
-  // Its runs crashed targets.
+  // Earlier attempts of the request crashed targets.
   kQuarantined,
   kTargetRefused,
   kTargetUnavailable,
--- a/modules/state/request_id_hash.h
+++ b/modules/state/request_id_hash.h
@@ -5,8 +5,8 @@
 
 namespace citrongrade {
 
-// XXH3-128 of service, key and a caller's Idempotency-Key: what the memory of
-// request ids keeps in place of the id.
+// XXH3-128 of service, key and the caller's Idempotency-Key. Stored in place of
+// the request id.
 struct RequestIdHash {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
--- a/modules/state/request_outcome.h
+++ b/modules/state/request_outcome.h
@@ -4,13 +4,13 @@
 
 namespace citrongrade {
 
-// What is known of a request, told to its caller.
+// What is known about the execution of a request, as reported to its caller.
 enum class RequestOutcome : std::uint8_t {
-  // The target's whole answer.
+  // The target's complete response was received.
   kDone,
-  // Proved that it did not run: safe to send again.
+  // The request certainly did not run: it is safe to send again.
   kNotRun,
-  // It may have run.
+  // The request may have run.
   kUnknown,
 };
 
--- a/modules/state/service_id.h
+++ b/modules/state/service_id.h
@@ -7,13 +7,13 @@
 
 namespace citrongrade {
 
-// A service of one workspace: what a caller's path "/{workspace}/{service}/"
-// names, and what a target announces itself for.
+// A service of a workspace, as named in a caller's path
+// "/{workspace}/{service}/" and in a target's announcement.
 struct ServiceId {
   WorkspaceName workspace;
   ServiceName service;
 
-  // "workspace/service", as in logs, dumps and records.
+  // "workspace/service", the form used in logs, dumps and records.
   std::string ToString() const {
     return workspace.value() + "/" + service.value();
   }
--- a/modules/state/slot_ownership.h
+++ b/modules/state/slot_ownership.h
@@ -7,7 +7,7 @@
 
 namespace citrongrade {
 
-// Who owns a slot, and the fencing token of that grant.
+// The owner of a slot and the fencing token of its assignment.
 struct SlotOwnership {
   MemberId owner;
   Epoch epoch;
--- a/modules/state/slot_table.cc
+++ b/modules/state/slot_table.cc
@@ -47,12 +47,12 @@
   return owner == kUnowned ? 0 : m_owners[owner].slot_count;
 }
 
-bool SlotTable::Contains(const OwnedSlotRange& run) const {
-  const std::uint64_t end = std::uint64_t{run.first.value()} + run.count;
-  return run.count > 0 && end <= m_slot_count;
+bool SlotTable::Contains(const OwnedSlotRange& range) const {
+  const std::uint64_t end = std::uint64_t{range.first.value()} + range.count;
+  return range.count > 0 && end <= m_slot_count;
 }
 
-bool SlotTable::IsOwnedBy(const OwnedSlotRange& run,
+bool SlotTable::IsOwnedBy(const OwnedSlotRange& range,
                           const std::optional<MemberId>& owner) const {
   OwnerIndex expected = kUnowned;
   if (owner.has_value()) {
@@ -61,21 +61,21 @@
       return false;
     }
   }
-  const auto begin = m_owner_of_slot.begin() + run.first.value();
-  return std::all_of(begin, begin + run.count, [expected](OwnerIndex index) {
+  const auto begin = m_owner_of_slot.begin() + range.first.value();
+  return std::all_of(begin, begin + range.count, [expected](OwnerIndex index) {
     return index == expected;
   });
 }
 
-Epoch SlotTable::LatestEpoch(const OwnedSlotRange& run) const {
-  const auto begin = m_epoch_of_slot.begin() + run.first.value();
-  return *std::max_element(begin, begin + run.count);
+Epoch SlotTable::LatestEpoch(const OwnedSlotRange& range) const {
+  const auto begin = m_epoch_of_slot.begin() + range.first.value();
+  return *std::max_element(begin, begin + range.count);
 }
 
-void SlotTable::Assign(const OwnedSlotRange& run, Epoch epoch) {
-  const OwnerIndex owner = FindOrAddOwner(run.owner);
-  const std::uint32_t end = run.first.value() + run.count;
-  for (std::uint32_t slot = run.first.value(); slot < end; ++slot) {
+void SlotTable::Assign(const OwnedSlotRange& range, Epoch epoch) {
+  const OwnerIndex owner = FindOrAddOwner(range.owner);
+  const std::uint32_t end = range.first.value() + range.count;
+  for (std::uint32_t slot = range.first.value(); slot < end; ++slot) {
     SetOwner(slot, owner);
     m_epoch_of_slot[slot] = epoch;
   }
@@ -88,27 +88,27 @@
 }
 
 std::vector<std::pair<OwnedSlotRange, Epoch>> SlotTable::OwnedRanges() const {
-  std::vector<std::pair<OwnedSlotRange, Epoch>> runs;
+  std::vector<std::pair<OwnedSlotRange, Epoch>> ranges;
   for (std::uint32_t slot = 0; slot < m_slot_count; ++slot) {
     const OwnerIndex owner = m_owner_of_slot[slot];
     if (owner == kUnowned) {
       continue;
     }
     const Epoch epoch = m_epoch_of_slot[slot];
-    if (!runs.empty()) {
-      OwnedSlotRange& last = runs.back().first;
+    if (!ranges.empty()) {
+      OwnedSlotRange& last = ranges.back().first;
       const bool follows = last.first.value() + last.count == slot;
       const bool alike =
-          last.owner == m_owners[owner].member && runs.back().second == epoch;
+          last.owner == m_owners[owner].member && ranges.back().second == epoch;
       if (follows && alike) {
         ++last.count;
         continue;
       }
     }
-    runs.emplace_back(
+    ranges.emplace_back(
         OwnedSlotRange{SlotIndex(slot), 1, m_owners[owner].member}, epoch);
   }
-  return runs;
+  return ranges;
 }
 
 SlotTable::OwnerIndex SlotTable::FindOwner(const MemberId& member) const {
@@ -121,8 +121,8 @@
   if (known != kUnowned) {
     return known;
   }
-  // An entry that owns nothing any more is taken again, so that the list stays
-  // as long as the mesh is wide however many members came and went.
+  // Reuse an entry that owns no slots any more, so that the list doesn't grow
+  // with the number of members that join and leave over time.
   const auto unused =
       std::find_if(m_owners.begin(), m_owners.end(),
                    [](const Owner& owner) { return owner.slot_count == 0; });
--- a/modules/state/slot_table.h
+++ b/modules/state/slot_table.h
@@ -10,13 +10,13 @@
 
 #include "modules/state/identifiers.h"
 #include "modules/state/member_id.h"
-#include "modules/state/slot_ownership.h"
 #include "modules/state/owned_slot_range.h"
+#include "modules/state/slot_ownership.h"
 
 namespace citrongrade {
 
-// The slots of one service and their owners. State is kept by slot and never by
-// key: 12 bytes a slot, whatever the number of keys.
+// The slots of one service and their owners. State is kept per slot, never per
+// key: 12 bytes a slot, regardless of the number of keys.
 class SlotTable {
  public:
   SlotTable(std::uint32_t slot_count, std::uint64_t hash_seed);
@@ -24,10 +24,10 @@
   std::uint32_t slot_count() const { return m_slot_count; }
   std::uint64_t hash_seed() const { return m_hash_seed; }
 
-  // Slot of a key: XXH3 with the service's seed.
+  // Slot of a key, by XXH3 with the service's seed.
   SlotIndex SlotOf(std::string_view key) const;
 
-  // Nothing for a slot that nobody owns.
+  // Nullopt for a slot without an owner.
   std::optional<SlotOwnership> OwnerOf(SlotIndex slot) const;
 
   // Slots of one member in ascending order.
@@ -35,19 +35,20 @@
   std::uint32_t CountOwnedBy(const MemberId& member) const;
   std::uint32_t UnownedCount() const { return m_unowned_count; }
 
-  // Every slot of the run exists.
-  bool Contains(const OwnedSlotRange& run) const;
-  // Every slot of the run is owned by `owner`; by nobody for an empty optional.
-  bool IsOwnedBy(const OwnedSlotRange& run,
+  // Whether the range is not empty and all its slots exist.
+  bool Contains(const OwnedSlotRange& range) const;
+  // Whether every slot of the range is owned by `owner`, or is unowned if
+  // `owner` is empty. Ignores the range's own owner.
+  bool IsOwnedBy(const OwnedSlotRange& range,
                  const std::optional<MemberId>& owner) const;
 
-  // The latest epoch among the run's slots.
-  Epoch LatestEpoch(const OwnedSlotRange& run) const;
+  // The latest epoch among the range's slots.
+  Epoch LatestEpoch(const OwnedSlotRange& range) const;
 
-  void Assign(const OwnedSlotRange& run, Epoch epoch);
+  void Assign(const OwnedSlotRange& range, Epoch epoch);
   void Release(const MemberId& member);
 
-  // All owned slots as runs of equal owner and epoch, for snapshots.
+  // All owned slots as ranges of equal owner and epoch, for snapshots.
   std::vector<std::pair<OwnedSlotRange, Epoch>> OwnedRanges() const;
 
   friend bool operator==(const SlotTable& left, const SlotTable& right) {
@@ -57,7 +58,7 @@
   }
 
  private:
-  // Index into m_owners, kept small since there is one for each slot.
+  // Index into m_owners. 32 bits wide since there is one for each slot.
   using OwnerIndex = std::uint32_t;
   static constexpr OwnerIndex kUnowned = 0xffffffff;
 
--- a/modules/state/slot_table_test.cc
+++ b/modules/state/slot_table_test.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("keys spread evenly over the slots") {
+TEST_CASE("keys are spread evenly over the slots") {
   constexpr std::uint32_t kSlots = 64;
   constexpr int kKeysPerSlot = 1000;
   const SlotTable table(kSlots, 7);
@@ -30,7 +30,7 @@
   }
 }
 
-TEST_CASE("runs of equal owner and epoch come back as they were given") {
+TEST_CASE("assigned ranges are returned with their owner and epoch") {
   SlotTable table(10, 0);
   table.Assign({SlotIndex(0), 4, kFirst}, Epoch(5));
   table.Assign({SlotIndex(4), 3, kSecond}, Epoch(5));
@@ -44,7 +44,8 @@
   CHECK(table.OwnedRanges().size() == 4);
 }
 
-TEST_CASE("a run beyond the last slot is not contained, nor is an empty one") {
+TEST_CASE(
+    "a range beyond the last slot is not contained, nor is an empty one") {
   const SlotTable table(10, 0);
   CHECK(table.Contains({SlotIndex(9), 1, kFirst}));
   CHECK_FALSE(table.Contains({SlotIndex(9), 2, kFirst}));
@@ -52,16 +53,17 @@
   CHECK_FALSE(table.Contains({SlotIndex(1), 0xffffffff, kFirst}));
 }
 
-TEST_CASE("members that come and go don't lengthen the list of owners") {
-  // A mesh that restarts for years must not slow down: a member whose slots are
-  // all gone gives its place to the next, and the slots of others stay theirs.
+TEST_CASE("members that join and leave don't lengthen the list of owners") {
+  // A mesh whose members restart for years must not slow down: the entry of a
+  // member without slots is reused, and the slots of other members keep their
+  // owners.
   SlotTable table(4, 0);
   table.Assign({SlotIndex(0), 1, kFirst}, Epoch(1));
-  for (std::uint64_t life = 2; life < 100; ++life) {
-    const MemberId member{NodeId("b"), Incarnation(life)};
-    table.Assign({SlotIndex(1), 3, member}, Epoch(life));
+  for (std::uint64_t incarnation = 2; incarnation < 100; ++incarnation) {
+    const MemberId member{NodeId("b"), Incarnation(incarnation)};
+    table.Assign({SlotIndex(1), 3, member}, Epoch(incarnation));
     CHECK(table.CountOwnedBy(member) == 3);
-    CHECK(table.CountOwnedBy({NodeId("b"), Incarnation(life - 1)}) == 0);
+    CHECK(table.CountOwnedBy({NodeId("b"), Incarnation(incarnation - 1)}) == 0);
   }
   CHECK(table.CountOwnedBy(kFirst) == 1);
 }
--- a/modules/state/strong_integer.h
+++ b/modules/state/strong_integer.h
@@ -7,8 +7,8 @@
 
 namespace citrongrade {
 
-// An unsigned number that counts one kind of thing, so that a log offset can't
-// be passed where a slot is expected. Kin: StrongString.
+// An unsigned integer of a distinct type, so that, for example, a log offset
+// can't be passed where a slot is expected. See also StrongString.
 template <typename Tag, typename Integer = std::uint64_t>
 class StrongInteger {
  public:
--- a/modules/state/strong_integer_test.cc
+++ b/modules/state/strong_integer_test.cc
@@ -6,7 +6,7 @@
 
 namespace citrongrade {
 
-TEST_CASE("a later offset is greater, and Next() is the one after") {
+TEST_CASE("a later offset is greater, and Next() returns the next one") {
   CHECK(LogOffset(3) < LogOffset(4));
   CHECK(LogOffset(3).Next() == LogOffset(4));
 }
--- a/modules/state/strong_string.h
+++ b/modules/state/strong_string.h
@@ -8,8 +8,8 @@
 
 namespace citrongrade {
 
-// A string that names one kind of thing, so that a node's id can't be passed
-// where a service's name is expected. Not for free text.
+// A string of a distinct type, so that, for example, a node id can't be passed
+// where a service name is expected. Not for free text.
 template <typename Tag>
 class StrongString {
  public:
--- a/modules/state/takeover_history.h
+++ b/modules/state/takeover_history.h
@@ -10,13 +10,14 @@
 
 namespace citrongrade {
 
-// Where the successors of a lost member find the request ids that it ran: with
-// a majority of each witness set that counted when it was lost.
+// The witness sets from which the new owners of a lost member's slots collect
+// the request ids that it ran: a majority of each set that was valid when the
+// member was lost.
 struct TakeoverHistory {
   Epoch epoch;
   MemberId lost;
   ServiceId service;
-  // The confirmed set and, if there was one, the pending set.
+  // The confirmed set and the pending set, if there was one.
   std::vector<WitnessSet> witness_sets;
 
   friend auto operator<=>(const TakeoverHistory&,
--- a/modules/state/witness.h
+++ b/modules/state/witness.h
@@ -7,10 +7,11 @@
 
 namespace citrongrade {
 
-// One member of a witness set, with what proves later that its process is gone.
+// One member of a witness set, with the data that later proves that its process
+// has ended.
 struct Witness {
   MemberId member;
-  // Boot and peer address as in the member's join record.
+  // Boot id and peer address from the member's join record.
   std::string boot_id;
   std::string peer_address;
 
--- a/modules/state/witness_set.h
+++ b/modules/state/witness_set.h
@@ -9,9 +9,9 @@
 
 namespace citrongrade {
 
-// The members whose majority grants a holder's lease and, once it has lapsed,
-// testifies so. An empty set belongs to a member that may not own slots yet,
-// or to the only member of a mesh.
+// The members of which a majority grants a holder's lease and testifies when
+// that lease has expired. The set is empty for a member that may not own slots
+// yet, and for the only member of a mesh.
 struct WitnessSet {
   WitnessSetVersion version;
   std::vector<Witness> witnesses;
