--- a/modules/state/mesh_state.h
+++ b/modules/state/mesh_state.h
@@ -26,8 +26,8 @@
 
 // The state replayed from the platform's log: members, witness sets, slot
 // owners and configuration. Pass it every entry in order of offset. Whether an
-// entry is accepted depends only on the entries before it, so all nodes reach
-// the same state.
+// entry is accepted depends only on the entry and on those before it, so all
+// nodes reach the same state.
 //
 // It has no clock and tracks no leases: an owner in this state may serve only
 // while its lease is valid as well (LeaseHolder in coordination).
