--- a/modules/transport/async/async_connection_pool.cc
+++ b/modules/transport/async/async_connection_pool.cc
@@ -7,8 +7,9 @@
 
 namespace {
 
-// A connection is given up so long before its peer would close it, as a request
-// that crosses the close can't be proved not to have run.
+// A connection is dropped this long before its peer would close it. If the peer
+// closes while a request is in flight, nothing proves that the request has not
+// run.
 constexpr std::chrono::milliseconds kPeerKeepAliveMargin{1000};
 
 }  // namespace
@@ -29,7 +30,7 @@
     Idle last = std::move(idle.back());
     idle.pop_back();
     if (now - last.since > max_idle) {
-      // The others were idle for longer still.
+      // The remaining connections have been idle even longer.
       idle.push_back(std::move(last));
       break;
     }
--- a/modules/transport/async/async_connection_pool.h
+++ b/modules/transport/async/async_connection_pool.h
@@ -12,13 +12,15 @@
 
 namespace citrongrade {
 
-// Kept connections to other processes, on the event loop. It bounds the idle
-// ones; its users bound those in use.
+// Pool of idle keep-alive connections to other processes, for use on one event
+// loop. The pool bounds only the number of idle connections; its users bound
+// the number in use.
 class AsyncConnectionPool {
  public:
   struct Settings {
     std::size_t max_idle_per_address = 32;
-    // Well below the time after which peers close idle connections.
+    // Lifetime of an idle connection. Well below the time after which peers
+    // close idle connections.
     Clock::Duration idle_timeout = std::chrono::seconds(5);
     Clock::Duration connect_timeout = std::chrono::milliseconds(500);
   };
@@ -28,18 +30,21 @@
                       const Settings& settings);
   ~AsyncConnectionPool();
 
-  // The most lately used one that was idle for no longer than `max_idle`, or a
-  // new one. Throws ConnectRefusedError, ConnectError.
+  // Returns the most recently used connection that has been idle for at most
+  // `max_idle`, or opens a new one. Throws ConnectRefusedError, ConnectError.
   Task<std::unique_ptr<AsyncHttpConnection>> Acquire(HttpAddress address,
                                                      Clock::Duration max_idle);
-  // Keeps it if it is reusable, else closes it.
+  // Keeps the connection for reuse, or closes it if it isn't reusable or enough
+  // idle connections are kept.
   void Release(const HttpAddress& address,
                std::unique_ptr<AsyncHttpConnection> connection);
-  // Drops those that the peer has closed meanwhile; true when there were any.
+  // Closes the idle connections that are stale, and returns whether there were
+  // any. See AsyncHttpConnection::IsStale().
   bool DropClosed(const HttpAddress& address);
-  // The process behind the address is another one now, or gone.
+  // Closes all idle connections to `address`. Call it when the process at the
+  // address has been replaced or has ended.
   void CloseIdle(const HttpAddress& address);
-  // Closes what was idle for too long.
+  // Closes the connections that have been idle for too long.
   void CloseExpired();
 
   std::uint64_t opened_count() const { return m_opened_count; }
--- a/modules/transport/async/async_http_connection.cc
+++ b/modules/transport/async/async_http_connection.cc
@@ -38,25 +38,26 @@
 constexpr int kContinue = 100;
 constexpr std::uint64_t kMaxResponseBodyBytes = std::uint64_t{16} << 20U;
 constexpr std::uint32_t kMaxResponseHeaderBytes = 32 * 1024;
-// Bytes that the peer's host does not confirm for so long: the connection was
-// lost on the way, and without this it would hold a call to its timeout.
+// TCP_USER_TIMEOUT in milliseconds: the connection fails when sent bytes stay
+// unacknowledged for this long. Without it, a lost connection would hold a call
+// until its timeout.
 constexpr unsigned kTcpUserTimeoutMs = 3000;
 
 using Parser = http::response_parser<http::string_body>;
 
-// How a call differs from a plain one.
+// Options of one call.
 struct CallOptions {
   AsyncHttpConnection::IsMatchingResponse is_matching_response;
-  // Of each piece of the answer but the first; zero: the call's timeout is for
-  // all of it.
+  // Timeout of each piece of the response after the first; zero: the call's
+  // timeout covers the whole response.
   Clock::Duration progress_timeout{0};
-  // The body is sent once the peer has asked for it.
+  // Sends the body only after the peer's 100 Continue.
   bool expects_continue = false;
 };
 
 struct OutgoingRequest {
   http::request<http::string_body> message;
-  // Where the body waits for the peer to ask for it.
+  // Serializer of a request whose body is sent only after 100 Continue.
   std::optional<http::request_serializer<http::string_body>> pending_body;
   bool is_written = false;
 };
@@ -106,7 +107,7 @@
 }
 
 [[noreturn]] void ThrowReadError(const boost::system::error_code& error,
-                                 bool got_some,
+                                 bool has_response_bytes,
                                  const std::string& host) {
   const std::string text = host + ": " + error.message();
   if (error == beast::error::timeout)
@@ -118,7 +119,7 @@
   if (error.category() ==
       http::make_error_code(http::error::bad_version).category())
     throw MalformedResponseError(text);
-  if (got_some)
+  if (has_response_bytes)
     throw TruncatedBodyError(text);
   throw ConnectionClosedError(text);
 }
@@ -136,7 +137,7 @@
   Task<> Connect(Clock::Duration timeout);
   Task<HttpResponse> Call(HttpRequest request,
                           Clock::Duration timeout,
-                          CallOptions terms);
+                          CallOptions options);
   void Close() {
     m_is_reusable = false;
     m_stream.close();
@@ -147,12 +148,12 @@
 
  private:
   Task<> WriteHead(std::shared_ptr<OutgoingRequest> outgoing);
-  // All of it, or what WriteHead() has left.
+  // Starts writing the whole request, or the rest of it after WriteHead().
   void StartWrite(const std::shared_ptr<OutgoingRequest>& outgoing);
   Task<HttpResponse> ReadResponse(std::shared_ptr<OutgoingRequest> outgoing,
-                                  Clock::Duration next_timeout);
+                                  Clock::Duration progress_timeout);
   Task<> ReadWithProgressTimeout(Parser& parser,
-                                 Clock::Duration next_timeout,
+                                 Clock::Duration progress_timeout,
                                  boost::system::error_code& error);
 
   const std::string m_host;
@@ -175,10 +176,10 @@
     throw ConnectError(m_host + ": " + error.message());
   boost::system::error_code ignored;
   m_stream.socket().set_option(tcp::no_delay(true), ignored);
-  // Its end is a reset, whatever ends it: what is still on its way is dropped.
-  // By a plain close it would arrive first, and the close after it: requests
-  // reached a busy target 0.7 s after their callers had left. Nothing that is
-  // wanted is lost: a connection is only closed when idle or given up.
+  // Closing always resets the connection, which drops bytes still in transit. A
+  // plain close would be delivered after them: requests reached a busy target
+  // 0.7 s after their callers had left. Nothing needed is lost, as a connection
+  // is closed only when it is idle or its call has been given up.
   m_stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
   setsockopt(m_stream.socket().native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
              &kTcpUserTimeoutMs, sizeof(kTcpUserTimeoutMs));
@@ -187,14 +188,14 @@
 
 Task<> AsyncHttpConnection::Implementation::ReadWithProgressTimeout(
     Parser& parser,
-    Clock::Duration next_timeout,
+    Clock::Duration progress_timeout,
     boost::system::error_code& error) {
   parser.eager(true);
   while (!error && !parser.is_done()) {
     co_await http::async_read_some(
         m_stream, m_buffer, parser,
         asio::redirect_error(asio::use_awaitable, error));
-    m_stream.expires_after(next_timeout);
+    m_stream.expires_after(progress_timeout);
   }
 }
 
@@ -225,15 +226,15 @@
 
 Task<HttpResponse> AsyncHttpConnection::Implementation::ReadResponse(
     std::shared_ptr<OutgoingRequest> outgoing,
-    Clock::Duration next_timeout) {
-  bool is_asked = false;
+    Clock::Duration progress_timeout) {
+  bool has_continued = false;
   while (true) {
     Parser parser;
     parser.body_limit(kMaxResponseBodyBytes);
     parser.header_limit(kMaxResponseHeaderBytes);
     boost::system::error_code error;
-    if (next_timeout > Clock::Duration(0)) {
-      co_await ReadWithProgressTimeout(parser, next_timeout, error);
+    if (progress_timeout > Clock::Duration(0)) {
+      co_await ReadWithProgressTimeout(parser, progress_timeout, error);
     } else {
       co_await http::async_read(
           m_stream, m_buffer, parser,
@@ -242,8 +243,8 @@
     if (error)
       ThrowReadError(error, parser.got_some(), m_host);
     if (parser.get().result_int() == kContinue && outgoing->pending_body &&
-        !is_asked) {
-      is_asked = true;
+        !has_continued) {
+      has_continued = true;
       StartWrite(outgoing);
     }
     if (parser.get().result_int() < kFirstFinalStatus)
@@ -256,33 +257,35 @@
 Task<HttpResponse> AsyncHttpConnection::Implementation::Call(
     HttpRequest request,
     Clock::Duration timeout,
-    CallOptions terms) {
-  // Opening the connection, or a pause of the process, may have taken all the
-  // time. Sent now it would arrive when its sender has given it up: a grant
-  // would hold keys that are another's by then.
+    CallOptions options) {
+  // Connecting, or a pause of the process, may have used up the timeout. A
+  // request sent now would arrive after its sender has given it up: a grant
+  // would let the target hold keys that belong to another target by then.
   if (timeout <= Clock::Duration(0))
     throw ResponseTimeoutError(m_host + ": no time is left");
   const std::shared_ptr<OutgoingRequest> outgoing =
       MakeOutgoingRequest(std::move(request), m_host);
   m_is_reusable = false;
   m_stream.expires_after(timeout);
-  if (terms.expects_continue)
+  if (options.expects_continue)
     co_await WriteHead(outgoing);
   else
     StartWrite(outgoing);
-  bool was_exact = true;
+  bool was_first_response = true;
   while (true) {
     HttpResponse response =
-        co_await ReadResponse(outgoing, terms.progress_timeout);
-    if (terms.is_matching_response && !terms.is_matching_response(response)) {
-      was_exact = false;
+        co_await ReadResponse(outgoing, options.progress_timeout);
+    if (options.is_matching_response &&
+        !options.is_matching_response(response)) {
+      was_first_response = false;
       if (!m_peer_keeps_open)
         throw ConnectionClosedError(m_host + ": closed after another answer");
       continue;
     }
     m_peer_keep_alive = ParseKeepAliveTimeout(response);
-    m_is_reusable = was_exact && outgoing->is_written && m_peer_keeps_open &&
-                    m_buffer.size() == 0 && m_stream.socket().is_open();
+    m_is_reusable = was_first_response && outgoing->is_written &&
+                    m_peer_keeps_open && m_buffer.size() == 0 &&
+                    m_stream.socket().is_open();
     m_stream.expires_never();
     if (!m_is_reusable)
       m_stream.close();
@@ -314,33 +317,34 @@
       new AsyncHttpConnection(std::move(implementation)));
 }
 
-Task<HttpResponse> AsyncHttpConnection::Call(HttpRequest request,
-                                             Clock::Duration timeout,
-                                             IsMatchingResponse is_answer) {
+Task<HttpResponse> AsyncHttpConnection::Call(
+    HttpRequest request,
+    Clock::Duration timeout,
+    IsMatchingResponse is_matching_response) {
   const auto implementation = m_implementation;
-  CallOptions terms;
-  terms.is_matching_response = std::move(is_answer);
-  co_return co_await implementation->Call(std::move(request), timeout, terms);
+  CallOptions options;
+  options.is_matching_response = std::move(is_matching_response);
+  co_return co_await implementation->Call(std::move(request), timeout, options);
 }
 
 Task<HttpResponse> AsyncHttpConnection::CallExpectingContinue(
     HttpRequest request,
     Clock::Duration timeout) {
   const auto implementation = m_implementation;
-  CallOptions terms;
-  terms.expects_continue = true;
-  co_return co_await implementation->Call(std::move(request), timeout, terms);
+  CallOptions options;
+  options.expects_continue = true;
+  co_return co_await implementation->Call(std::move(request), timeout, options);
 }
 
 Task<HttpResponse> AsyncHttpConnection::CallWithProgressTimeout(
     HttpRequest request,
     Clock::Duration first_timeout,
-    Clock::Duration next_timeout) {
+    Clock::Duration progress_timeout) {
   const auto implementation = m_implementation;
-  CallOptions terms;
-  terms.progress_timeout = next_timeout;
+  CallOptions options;
+  options.progress_timeout = progress_timeout;
   co_return co_await implementation->Call(std::move(request), first_timeout,
-                                          terms);
+                                          options);
 }
 
 void AsyncHttpConnection::Close() {
--- a/modules/transport/async/async_http_connection.h
+++ b/modules/transport/async/async_http_connection.h
@@ -15,16 +15,17 @@
 
 namespace citrongrade {
 
-// One kept HTTP/1.1 client connection on the event loop, by Boost.Beast. One
-// call at a time. Kin: HttpClientConnection, by threads; AsyncConnectionPool
-// keeps them.
+// A keep-alive HTTP/1.1 client connection on the event loop, built on
+// Boost.Beast. It carries one call at a time. See also: HttpClientConnection,
+// which uses threads; AsyncConnectionPool, which keeps idle connections.
 class AsyncHttpConnection {
  public:
-  // Whether a response is the answer to the request in hand. A peer may send a
-  // second answer to an earlier request; that one is skipped.
+  // Returns whether a response belongs to the current request. A peer may send
+  // a second response to an earlier request; Call() skips it.
   using IsMatchingResponse = std::function<bool(const HttpResponse&)>;
 
-  // Throws ConnectRefusedError when nobody listens there, else ConnectError.
+  // Throws ConnectRefusedError if nothing listens at the address, and
+  // ConnectError on any other failure.
   static Task<std::unique_ptr<AsyncHttpConnection>> Open(
       boost::asio::io_context& loop,
       HttpAddress address,
@@ -34,35 +35,38 @@
   AsyncHttpConnection(const AsyncHttpConnection&) = delete;
   AsyncHttpConnection& operator=(const AsyncHttpConnection&) = delete;
 
-  // Sends the request and reads its answer whole. The peer may answer before it
-  // has read the whole body. Throws ResponseTimeoutError,
-  // ConnectionClosedError (before any byte of an answer), TruncatedBodyError
-  // (after some), MalformedResponseError; also after Close(). With no time
-  // left nothing is sent.
+  // Sends the request and reads the complete response. The peer may respond
+  // before it has read the whole body. Throws ResponseTimeoutError,
+  // ConnectionClosedError (before the first byte of a response),
+  // TruncatedBodyError (after it) and MalformedResponseError; a call pending at
+  // Close() fails the same way. If `timeout` is not positive, nothing is sent
+  // and ResponseTimeoutError is thrown.
   Task<HttpResponse> Call(HttpRequest request,
                           Clock::Duration timeout,
-                          IsMatchingResponse is_answer = nullptr);
-  // The same, but the body is sent only when the peer asks for it; it may
-  // answer instead.
+                          IsMatchingResponse is_matching_response = nullptr);
+  // Like Call(), but sends the body only after the peer has asked for it with
+  // 100 Continue. The peer may send its final response instead.
   Task<HttpResponse> CallExpectingContinue(HttpRequest request,
                                            Clock::Duration timeout);
 
-  // The same for an answer that may be long: its first bytes have to come
-  // within `first_timeout`, each next ones within `next_timeout`. So the time
-  // it takes is bounded by whether it moves on, not by its length.
+  // Like Call(), for responses that may be long: the first bytes must arrive
+  // within `first_timeout`, and each following piece within `progress_timeout`.
+  // The duration is thus bounded by progress, not by the length of the
+  // response.
   Task<HttpResponse> CallWithProgressTimeout(HttpRequest request,
                                              Clock::Duration first_timeout,
-                                             Clock::Duration next_timeout);
+                                             Clock::Duration progress_timeout);
 
-  // Makes a call that waits fail at once: the peer sees its connection reset,
-  // and what is still on its way does not arrive.
+  // Makes a pending call fail at once. The peer sees a connection reset, and
+  // bytes still in transit are dropped.
   void Close();
 
-  // The last call ended well and neither side closes.
+  // True if the last call succeeded and neither side closes the connection.
   bool is_reusable() const;
-  // The peer closed it, or sent what nobody asked for.
+  // True if the peer has closed the connection or has sent bytes that belong to
+  // no request.
   bool IsStale() const;
-  // How long the peer said to keep it open when idle; zero: it said nothing.
+  // The idle timeout from the peer's Keep-Alive header; zero if there was none.
   Clock::Duration peer_keep_alive() const;
 
  private:
--- a/modules/transport/async/async_http_server.cc
+++ b/modules/transport/async/async_http_server.cc
@@ -41,11 +41,12 @@
 constexpr unsigned kHttpVersion = 11;
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
-// Accepting failed for want of descriptors or memory: some come free meanwhile.
+// Delay before accepting again after a lack of file descriptors or memory, some
+// of which may have been freed by then.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
-// Requests of one connection that are served at the same time. Callers that
-// send some ahead send a few; more would let one connection hold answers
-// without bound behind a slow one.
+// Limit of the requests of one connection that are handled concurrently.
+// Callers that pipeline send only a few; without a limit, one connection could
+// hold any number of responses in memory behind a slow one.
 constexpr std::size_t kMaxPipelinedRequests = 8;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -118,12 +119,13 @@
 
  private:
   struct Session;
-  // One request from the first byte read to the last byte of its answer.
+  // One request, from its header having been read to the last byte of its
+  // response.
   struct Exchange {
-    Exchange(std::size_t& counted,
+    Exchange(std::size_t& in_flight_count,
              Clock::TimePoint arrived,
              const std::string& caller_ip)
-        : context(arrived, caller_ip), in_flight(counted) {
+        : context(arrived, caller_ip), in_flight(in_flight_count) {
       ++in_flight;
     }
     ~Exchange() { --in_flight; }
@@ -134,7 +136,7 @@
     std::size_t& in_flight;
     bool keeps_alive = false;
     bool has_ended = false;
-    // Nothing when its handler failed.
+    // Empty if the handler threw.
     std::optional<HttpResponse> response;
   };
   using SessionPointer = std::shared_ptr<Session>;
@@ -151,43 +153,45 @@
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
     std::string peer_ip;
-    // In the order in which their requests came, which is that of the answers.
+    // In the order of the requests, which is also the order of the responses.
     std::deque<ExchangePointer> exchanges;
-    // Cancelled when an answer has been written.
+    // Never expires. It is cancelled to wake AwaitPipelineCapacity() when a
+    // response has been written or the caller has disconnected.
     asio::steady_timer pipeline_capacity;
     // Closes the connection when it has been idle for too long.
     asio::steady_timer idle_timer;
-    // A request's head has come, but it was not started yet.
+    // The header of a request has been read, but its handling has not started.
     bool is_reading = false;
     bool is_writing = false;
-    // No further request is taken: an answer says so, or the caller is gone.
+    // No further request is accepted, because a response closes the connection
+    // or the caller has disconnected.
     bool is_ending = false;
     std::uint64_t served = 0;
   };
 
   static Task<> Accept(std::shared_ptr<Implementation> self);
-  // Reads requests until the connection ends, and starts each.
+  // Reads requests until the connection ends, and starts handling each one.
   static Task<> Serve(std::shared_ptr<Implementation> self,
                       SessionPointer session);
-  // Nothing when the connection is to end.
+  // Returns null if the connection is to be closed.
   Task<ExchangePointer> ReadRequest(SessionPointer session,
                                     HttpRequest& request);
   Task<bool> ReadBody(SessionPointer session,
                       ExchangePointer exchange,
                       Parser& parser);
-  // False when the body is not taken.
+  // Returns false if the body is rejected or the caller has disconnected.
   Task<bool> SendContinue(SessionPointer session,
                           ExchangePointer exchange,
                           Parser& parser,
-                          std::shared_ptr<void>& place);
+                          std::shared_ptr<void>& reservation);
   Task<> AwaitPipelineCapacity(SessionPointer session, bool may_overlap);
   static Task<> HandleRequest(std::shared_ptr<Implementation> self,
                               SessionPointer session,
                               ExchangePointer exchange,
                               HttpRequest request);
-  // Writes the answers that are due by the order of the requests.
+  // Writes the responses that are ready, in the order of the requests.
   Task<> WriteResponses(SessionPointer session);
-  Task<> WriteRejection(SessionPointer session, HttpResponse refusal);
+  Task<> WriteRejection(SessionPointer session, HttpResponse rejection);
   void StartIdleTimer(const SessionPointer& session);
   void CloseSession(const SessionPointer& session);
   static void OnCallerGone(Session& session);
@@ -228,7 +232,8 @@
   boost::system::error_code ignored;
   m_acceptor.close(ignored);
   for (const SessionPointer& session : m_sessions) {
-    // A request that has come but was not read yet is still to be answered.
+    // A request that has arrived but has not been read yet must still be
+    // answered.
     if (session->is_idle() && session->buffer.size() == 0 &&
         !HasUnreadBytes(*session))
       session->stream.close();
@@ -263,25 +268,26 @@
 Task<> AsyncHttpServer::Implementation::Serve(
     std::shared_ptr<Implementation> self,
     SessionPointer session) {
-  bool is_kept = true;
+  bool stays_open = true;
   try {
-    while (is_kept) {
+    while (stays_open) {
       HttpRequest request;
       const ExchangePointer exchange =
           co_await self->ReadRequest(session, request);
       if (!exchange)
         break;
-      is_kept = exchange->keeps_alive;
-      // A server that stops ends a connection with the last answer that is due.
-      // Taking more ahead of it, it never came to that with a caller who always
-      // sends the next, and broke requests off when its time was over.
+      stays_open = exchange->keeps_alive;
+      // A stopping server closes a connection with its last pending response.
+      // When it still accepted pipelined requests, a caller that always sent
+      // the next one ahead kept the connection open, and its requests were
+      // aborted when the server's time to stop was over.
       const bool may_overlap =
           !session->exchanges.empty() && self->m_is_keep_alive_enabled &&
           !self->m_is_closing && self->m_handler.CanPipeline(request);
       co_await self->AwaitPipelineCapacity(session, may_overlap);
       session->is_reading = false;
-      // It came behind an answer that ended the connection: not read, for its
-      // caller.
+      // The request followed a response that closed the connection. To its
+      // caller it was never read.
       if (session->is_ending)
         break;
       ++session->served;
@@ -294,14 +300,15 @@
                      HandleRequest(self, session, exchange, std::move(request)),
                      asio::detached);
     }
-    if (!is_kept)
+    if (!stays_open)
       WatchForClose(session);
   } catch (const boost::system::system_error&) {
-    // The peer closed, or went silent: nothing is left to tell it.
+    // The peer has closed the connection or timed out: no response can reach
+    // it.
     OnCallerGone(*session);
   }
   session->is_reading = false;
-  if (is_kept)
+  if (stays_open)
     session->is_ending = true;
   if (session->exchanges.empty())
     self->CloseSession(session);
@@ -331,9 +338,9 @@
       error != http::error::partial_message;
   if (is_malformed) {
     co_await AwaitPipelineCapacity(session, false);
-    HttpResponse refusal = HttpResponse::WithStatus(StatusOf(error));
+    HttpResponse rejection = HttpResponse::WithStatus(StatusOf(error));
     if (!session->is_ending)
-      co_await WriteRejection(session, std::move(refusal));
+      co_await WriteRejection(session, std::move(rejection));
     co_return nullptr;
   }
   if (error) {
@@ -356,12 +363,13 @@
 Task<bool> AsyncHttpServer::Implementation::ReadBody(SessionPointer session,
                                                      ExchangePointer exchange,
                                                      Parser& parser) {
-  std::shared_ptr<void> place;
-  const bool asks = parser.get()[http::field::expect] == "100-continue";
-  if (asks) {
-    const bool is_taken =
-        co_await SendContinue(session, exchange, parser, place);
-    if (!is_taken)
+  std::shared_ptr<void> reservation;
+  const bool expects_continue =
+      parser.get()[http::field::expect] == "100-continue";
+  if (expects_continue) {
+    const bool is_admitted =
+        co_await SendContinue(session, exchange, parser, reservation);
+    if (!is_admitted)
       co_return false;
   }
   session->stream.expires_after(m_settings.read_timeout);
@@ -372,8 +380,8 @@
                             asio::redirect_error(asio::use_awaitable, error));
   if (error == http::error::body_limit) {
     co_await AwaitPipelineCapacity(session, false);
-    HttpResponse refusal = HttpResponse::WithStatus(StatusOf(error));
-    co_await WriteRejection(session, std::move(refusal));
+    HttpResponse rejection = HttpResponse::WithStatus(StatusOf(error));
+    co_await WriteRejection(session, std::move(rejection));
     co_return false;
   }
   if (error)
@@ -385,16 +393,16 @@
     SessionPointer session,
     ExchangePointer exchange,
     Parser& parser,
-    std::shared_ptr<void>& place) {
-  // An answer that is still due goes before it.
+    std::shared_ptr<void>& reservation) {
+  // Responses to earlier requests must be sent first.
   co_await AwaitPipelineCapacity(session, false);
   HttpRequest head = HeadOf(parser);
   const std::uint64_t bytes = parser.content_length().value_or(0);
-  std::optional<HttpResponse> refusal = co_await m_handler.AdmitBody(
-      std::move(head), bytes, exchange->context, place);
+  std::optional<HttpResponse> rejection = co_await m_handler.AdmitBody(
+      std::move(head), bytes, exchange->context, reservation);
   session->stream.expires_after(m_settings.read_timeout);
-  if (refusal) {
-    co_await WriteRejection(session, std::move(*refusal));
+  if (rejection) {
+    co_await WriteRejection(session, std::move(*rejection));
     co_return false;
   }
   if (exchange->context.ProbeCallerGone()) {
@@ -410,10 +418,10 @@
 Task<> AsyncHttpServer::Implementation::AwaitPipelineCapacity(
     SessionPointer session,
     bool may_overlap) {
-  const std::size_t most = may_overlap ? kMaxPipelinedRequests - 1 : 0;
-  if (session->exchanges.size() > most)
+  const std::size_t max_pending = may_overlap ? kMaxPipelinedRequests - 1 : 0;
+  if (session->exchanges.size() > max_pending)
     WatchForClose(session);
-  while (session->exchanges.size() > most && !session->is_ending) {
+  while (session->exchanges.size() > max_pending && !session->is_ending) {
     session->pipeline_capacity.expires_at(
         asio::steady_timer::time_point::max());
     boost::system::error_code ignored;
@@ -442,26 +450,26 @@
   session->is_writing = true;
   while (!session->exchanges.empty() && session->exchanges.front()->has_ended) {
     const ExchangePointer exchange = session->exchanges.front();
-    bool stays = false;
+    bool stays_open = false;
     if (exchange->response && !exchange->context.is_caller_gone()) {
-      // What was started behind it is still to be answered.
-      stays =
+      // Requests that were started after this one must still be answered.
+      stays_open =
           exchange->keeps_alive && (session->exchanges.size() > 1 ||
                                     (m_is_keep_alive_enabled && !m_is_closing));
-      session->is_ending |= !stays;
-      auto message = MakeMessage(std::move(*exchange->response), stays);
+      session->is_ending |= !stays_open;
+      auto message = MakeMessage(std::move(*exchange->response), stays_open);
       session->stream.expires_after(m_settings.read_timeout);
       boost::system::error_code error;
       co_await http::async_write(
           session->stream, message,
           asio::redirect_error(asio::use_awaitable, error));
       if (error) {
-        stays = false;
+        stays_open = false;
         OnCallerGone(*session);
       }
     }
     session->exchanges.pop_front();
-    if (!stays) {
+    if (!stays_open) {
       session->stream.close();
       OnCallerGone(*session);
     }
@@ -496,15 +504,15 @@
 void AsyncHttpServer::Implementation::OnCallerGone(Session& session) {
   session.is_ending = true;
   session.pipeline_capacity.cancel();
-  // A request that is stopped may end its exchange at once.
-  const std::deque<ExchangePointer> open = session.exchanges;
-  for (const ExchangePointer& exchange : open)
+  // A copy, as a cancelled request may remove its exchange at once.
+  const std::deque<ExchangePointer> open_exchanges = session.exchanges;
+  for (const ExchangePointer& exchange : open_exchanges)
     exchange->context.OnCallerGone();
 }
 
 Task<> AsyncHttpServer::Implementation::WriteRejection(SessionPointer session,
-                                                       HttpResponse refusal) {
-  auto message = MakeMessage(std::move(refusal), false);
+                                                       HttpResponse rejection) {
+  auto message = MakeMessage(std::move(rejection), false);
   co_await http::async_write(session->stream, message, asio::use_awaitable);
 }
 
@@ -523,7 +531,7 @@
   session->stream.socket().async_wait(
       tcp::socket::wait_read,
       [session](const boost::system::error_code& error) {
-        // More bytes are the next request, which waits its turn.
+        // Readable bytes are the next request, which is read in its turn.
         if (error || IsClosedByPeer(*session))
           OnCallerGone(*session);
       });
--- a/modules/transport/async/async_http_server.h
+++ b/modules/transport/async/async_http_server.h
@@ -20,22 +20,26 @@
 class Clock;
 class RequestContext;
 
-// An HTTP/1.1 server on one address and one event loop, by Boost.Beast. Kept
-// connections cost no thread, and a caller that goes while its request is
-// served is noticed at once. Callers may send requests ahead: answers go out in
-// the order of the requests, and those that may overlap are served at the same
-// time, so that a slow one makes the next late but not later. Requests and
-// answers are held whole: for bodies of some megabytes at most. Kin:
-// HttpServer, by threads; AsyncHttpConnection, the client.
+// An HTTP/1.1 server on one address and one event loop, built on Boost.Beast.
+// Keep-alive connections need no thread, and the server notices at once if a
+// caller disconnects while its request is being handled.
+//
+// Callers may pipeline requests. Responses are sent in the order of the
+// requests, but requests that may overlap are handled concurrently: a slow
+// request delays the next response, but not the handling of the next request.
+// Requests and responses are held in memory as a whole, so bodies should not
+// exceed a few megabytes.
+//
+// See also: HttpServer, which uses threads; AsyncHttpConnection, the client.
 class AsyncHttpServer {
  public:
   struct Settings {
     HttpAddress address;
     std::size_t max_header_bytes = std::size_t{16} * 1024;
     std::uint64_t max_body_bytes = std::uint64_t{8} << 20U;
-    // A kept connection without a request is closed after this.
+    // A keep-alive connection without a request is closed after this time.
     std::chrono::milliseconds idle_timeout{15'000};
-    // A body has to come within this.
+    // Time limit for receiving a body, and for writing a response.
     std::chrono::milliseconds read_timeout{10'000};
   };
 
@@ -43,29 +47,31 @@
    public:
     virtual ~Handler() = default;
 
-    // What it throws closes the connection without an answer.
+    // If it throws, the connection is closed without a response.
     virtual Task<HttpResponse> Handle(HttpRequest request,
                                       RequestContext& context) = 0;
-    // Before the body of a request that asks for it ("Expect: 100-continue") is
-    // read; none of it has been sent yet. An answer refuses it, is given in
-    // place of the request's, and ends the connection. `place` is kept until
-    // the body has come, or won't.
+    // Called for a request with "Expect: 100-continue" before its body is read;
+    // the caller has sent none of it yet. A returned response rejects the body:
+    // it is sent in place of the request's response, and the connection is
+    // closed. `reservation` is kept until the body has been received or has
+    // failed to arrive.
     virtual Task<std::optional<HttpResponse>> AdmitBody(
         HttpRequest /*head*/,
         std::uint64_t /*bytes*/,
         RequestContext& /*context*/,
-        std::shared_ptr<void>& /*place*/) {
+        std::shared_ptr<void>& /*reservation*/) {
       co_return std::nullopt;
     }
-    // Whether it may be started while earlier requests of its connection are
-    // still being served. Only for idempotent ones: a caller whose connection
-    // ends sends again what it sent behind the last answer.
+    // Whether the request may be handled while earlier requests of its
+    // connection are still being handled. Only for idempotent requests: a
+    // caller whose connection ends resends everything after the last response.
     virtual bool CanPipeline(const HttpRequest& /*request*/) const {
       return false;
     }
   };
 
-  // Throws AddressInUseError, HttpServerStartError. All outlive the server.
+  // `loop`, `clock` and `handler` must outlive the server. Throws
+  // AddressInUseError, HttpServerStartError.
   AsyncHttpServer(boost::asio::io_context& loop,
                   const Clock& clock,
                   const Settings& settings,
@@ -77,14 +83,15 @@
   void SetIdleTimeout(std::chrono::milliseconds timeout);
   void SetMaxHeaderBytes(std::size_t bytes);
 
-  // Every answer from now on asks its client to use another connection.
+  // From now on, the last pending response of a connection carries "Connection:
+  // close", so that its client uses another connection.
   void DisableKeepAlive();
 
-  // Takes no new connection, closes idle ones, and each other one after the
-  // answer that it waits for.
+  // Accepts no new connections and closes idle ones. Closes every other
+  // connection after its pending responses.
   void Close();
 
-  // Requests being read or served.
+  // Requests being read or handled.
   std::size_t in_flight() const;
   std::size_t connection_count() const;
 
--- a/modules/transport/async/async_http_test.cc
+++ b/modules/transport/async/async_http_test.cc
@@ -36,7 +36,8 @@
 const HttpAddress kRawServer{"127.0.3.2", 18301};
 constexpr milliseconds kTimeout{1500};
 
-// Answers "echo:" and the body; "/slow" waits until its caller goes.
+// Responds with "echo:" and the body; "/slow" waits until its caller
+// disconnects.
 class EchoHandler final : public AsyncHttpServer::Handler {
  public:
   explicit EchoHandler(asio::io_context& loop) : m_loop(loop) {}
@@ -46,7 +47,7 @@
     HttpResponse response;
     response.head.status = 200;
     response.body = "echo:" + request.body;
-    most_running = std::max(most_running, ++running);
+    max_running = std::max(max_running, ++running);
     if (request.target.ends_with("/pause")) {
       asio::steady_timer timer(m_loop, milliseconds(100));
       co_await timer.async_wait(asio::use_awaitable);
@@ -58,41 +59,41 @@
         timer.expires_after(milliseconds(10));
         co_await timer.async_wait(asio::use_awaitable);
       }
-      saw_caller_go = context.is_caller_gone();
+      saw_disconnect = context.is_caller_gone();
     }
     ++handled;
     co_return response;
   }
 
-  // Requests for "/ahead..." may overlap.
+  // Requests for "/ahead..." may be handled concurrently.
   bool CanPipeline(const HttpRequest& request) const override {
     return request.target.starts_with("/ahead");
   }
 
-  // Bodies for "/full" are not taken.
+  // Bodies for "/full" are rejected.
   Task<std::optional<HttpResponse>> AdmitBody(
       HttpRequest head,
       std::uint64_t /*bytes*/,
       RequestContext& /*context*/,
-      std::shared_ptr<void>& place) override {
+      std::shared_ptr<void>& reservation) override {
     if (head.target == "/full") {
-      HttpResponse refusal;
-      refusal.head.status = 503;
-      co_return refusal;
+      HttpResponse rejection;
+      rejection.head.status = 503;
+      co_return rejection;
     }
-    ++places_given;
-    ++places_open;
-    place = std::shared_ptr<void>(
-        &places_open, [](void* open) { --*static_cast<int*>(open); });
+    ++reservations_made;
+    ++open_reservations;
+    reservation = std::shared_ptr<void>(
+        &open_reservations, [](void* open) { --*static_cast<int*>(open); });
     co_return std::nullopt;
   }
 
-  int places_given = 0;
-  int places_open = 0;
+  int reservations_made = 0;
+  int open_reservations = 0;
   int handled = 0;
   int running = 0;
-  int most_running = 0;
-  bool saw_caller_go = false;
+  int max_running = 0;
+  bool saw_disconnect = false;
 
  private:
   asio::io_context& m_loop;
@@ -111,23 +112,23 @@
   AsyncHttpServer server{loop, clock, SettingsAt(kServer), handler};
 };
 
-// Sends `answer` once it has read a request's head, then does what `after`
-// says.
+// Sends `response` once it has read a request's header, then calls `after`.
 Task<> ServeRaw(tcp::acceptor& acceptor,
-                std::string answer,
+                std::string response,
                 std::function<void(tcp::socket&)> after) {
   tcp::socket socket = co_await acceptor.async_accept(asio::use_awaitable);
   std::string head;
   co_await asio::async_read_until(socket, asio::dynamic_buffer(head),
                                   "\r\n\r\n", asio::use_awaitable);
-  co_await asio::async_write(socket, asio::buffer(answer), asio::use_awaitable);
+  co_await asio::async_write(socket, asio::buffer(response),
+                             asio::use_awaitable);
   if (after)
     after(socket);
   asio::steady_timer timer(acceptor.get_executor(), milliseconds(300));
   co_await timer.async_wait(asio::use_awaitable);
 }
 
-// Runs `task` on a loop of its own until it has ended.
+// Runs the task on `loop` until it has ended.
 template <typename MakeTask>
 void RunTask(asio::io_context& loop, MakeTask make_task) {
   std::exception_ptr failure;
@@ -168,13 +169,13 @@
   }
 }
 
-CallEnd CallAgainst(const std::string& answer,
+CallEnd CallAgainst(const std::string& response,
                     std::function<void(tcp::socket&)> after,
                     std::string* body = nullptr) {
   asio::io_context loop;
   tcp::acceptor acceptor(
       loop, {asio::ip::make_address(kRawServer.ip), kRawServer.port});
-  asio::co_spawn(loop, ServeRaw(acceptor, answer, std::move(after)),
+  asio::co_spawn(loop, ServeRaw(acceptor, response, std::move(after)),
                  asio::detached);
   CallEnd end = CallEnd::kAnswered;
   std::string text;
@@ -184,7 +185,8 @@
   return end;
 }
 
-// An answer that comes piece by piece, read with a timeout for each.
+// Calls a server that sends its response piece by piece, with a timeout for
+// each piece.
 CallEnd CallServerSendingPieces(int pieces,
                                 milliseconds between,
                                 milliseconds timeout) {
@@ -223,8 +225,8 @@
   return end;
 }
 
-// How a connection ends for a peer that reads nothing until the call on it has
-// been given up.
+// Returns the error that a peer reads if it reads nothing until the call on its
+// connection has timed out.
 boost::system::error_code PeerErrorAfterCallTimeout() {
   asio::io_context loop;
   tcp::acceptor acceptor(
@@ -240,7 +242,7 @@
     try {
       co_await connection->Call(request, milliseconds(100));
     } catch (const ResponseTimeoutError&) {
-      // As it should: nobody answers.
+      // Expected: nobody responds.
     }
     connection.reset();
     std::string chunk(1 << 16, ' ');
@@ -261,15 +263,15 @@
 
 }  // namespace
 
-// A caller leaves while its request still stands before a busy target. The
-// request was run when the target came to it, long after: the connection's
-// close was in line behind it.
-TEST_CASE("a request that was given up does not go on arriving") {
+// A caller gives up a request that waits unread at a busy target. With a plain
+// close, the close was queued behind the request, and the target ran it long
+// after.
+TEST_CASE("an abandoned request is dropped with its connection") {
   CHECK(PeerErrorAfterCallTimeout() == asio::error::connection_reset);
 }
 
 TEST_CASE_FIXTURE(EchoServer,
-                  "a kept connection serves one call after another") {
+                  "a keep-alive connection serves consecutive calls") {
   AsyncConnectionPool pool(loop, clock, {});
   const auto calls = [&]() -> Task<> {
     for (int i = 0; i < 3; ++i) {
@@ -287,10 +289,10 @@
   CHECK(pool.opened_count() == 1);
 }
 
-// A caller leaves while its request is served: its work has to stop, and the
-// server must not wait for the handler to find out by writing.
+// A caller disconnects while its request is being handled. The handling must
+// stop, and the server must not learn of the disconnect only by writing.
 TEST_CASE_FIXTURE(EchoServer,
-                  "a caller that goes is noticed while its request is served") {
+                  "a disconnect is noticed while the request is handled") {
   const auto call = [&]() -> Task<> {
     auto connection =
         co_await AsyncHttpConnection::Open(loop, kServer, kTimeout);
@@ -304,15 +306,15 @@
     co_await timer.async_wait(asio::use_awaitable);
   };
   RunTask(loop, call);
-  CHECK(handler.saw_caller_go);
+  CHECK(handler.saw_disconnect);
 }
 
-// Sends all of `text` at once on one connection and reads until `end` came, the
-// server closed, or a second has passed.
+// Sends all of `text` at once on one connection. Reads until `end` has arrived,
+// the server has closed, or a second has passed.
 Task<> SendPipelined(asio::io_context& loop,
                      std::string text,
                      std::string end,
-                     std::string& answers) {
+                     std::string& responses) {
   tcp::socket socket(loop);
   co_await socket.async_connect(
       {asio::ip::make_address(kServer.ip), kServer.port}, asio::use_awaitable);
@@ -324,7 +326,7 @@
   });
   boost::system::error_code ended;
   co_await asio::async_read_until(
-      socket, asio::dynamic_buffer(answers), end,
+      socket, asio::dynamic_buffer(responses), end,
       asio::redirect_error(asio::use_awaitable, ended));
 }
 
@@ -340,9 +342,9 @@
   }
 
   std::string SendPipelined(const std::string& text, const std::string& end) {
-    std::string answers;
-    RunTask(loop, [&] { return SendPipelined(loop, text, end, answers); });
-    return answers;
+    std::string responses;
+    RunTask(loop, [&] { return SendPipelined(loop, text, end, responses); });
+    return responses;
   }
 
   asio::io_context loop;
@@ -352,72 +354,72 @@
   std::optional<AsyncHttpServer> server;
 };
 
-// A caller sends the next requests before the first is answered. Served one
-// after the other, each would also wait for all before it.
+// A caller pipelines requests. Handled one after the other, each would also
+// wait for all before it.
 TEST_CASE_FIXTURE(PipeliningFixture,
-                  "requests sent ahead run together, answered in order") {
-  const std::string answers =
+                  "pipelined requests run concurrently, answered in order") {
+  const std::string responses =
       SendPipelined(Post("/ahead/pause", "1") + Post("/ahead", "2") +
                         Post("/ahead/pause", "3"),
                     "echo:3");
-  CHECK(handler.most_running >= 2);
-  const std::size_t first = answers.find("echo:1");
-  const std::size_t second = answers.find("echo:2");
+  CHECK(handler.max_running >= 2);
+  const std::size_t first = responses.find("echo:1");
+  const std::size_t second = responses.find("echo:2");
   REQUIRE(second != std::string::npos);
   CHECK(first < second);
-  CHECK(second < answers.find("echo:3"));
+  CHECK(second < responses.find("echo:3"));
 }
 
 TEST_CASE_FIXTURE(PipeliningFixture,
-                  "a request that may run once waits for those before it") {
-  const std::string answers = SendPipelined(
+                  "a request that is not idempotent waits for earlier ones") {
+  const std::string responses = SendPipelined(
       Post("/ahead/pause", "1") + Post("/once/pause", "2"), "echo:2");
-  CHECK(handler.most_running == 1);
-  CHECK(answers.find("echo:2") != std::string::npos);
+  CHECK(handler.max_running == 1);
+  CHECK(responses.find("echo:2") != std::string::npos);
 }
 
-// One connection sends very many ahead of a slow one. What they answer is held
-// in memory until then, so that only some are started.
+// One connection pipelines many requests behind a slow one. Their responses are
+// held in memory, so only some may be started.
 TEST_CASE_FIXTURE(PipeliningFixture,
-                  "few requests of one connection run together") {
+                  "concurrent requests of one connection are limited") {
   std::string text;
   for (int i = 0; i < 30; ++i)
     text += Post("/ahead/pause", "x" + std::to_string(i) + ".");
-  const std::string answers = SendPipelined(text, "echo:x29.");
-  CHECK(handler.most_running <= 8);
-  CHECK(answers.find("echo:x29.") != std::string::npos);
+  const std::string responses = SendPipelined(text, "echo:x29.");
+  CHECK(handler.max_running <= 8);
+  CHECK(responses.find("echo:x29.") != std::string::npos);
 }
 
-// The server stops while a caller keeps sending requests ahead. The last answer
-// that is due ends the connection, and what stands behind it was never started:
-// its caller sends it again. Before, such a connection never ended, and its
-// requests were broken off when the process did.
+// The server stops while a caller keeps pipelining. The last pending response
+// closes the connection, and requests after it must not start, as the caller
+// sends them again. Such a connection once never ended, and its requests were
+// aborted with the process.
 TEST_CASE_FIXTURE(PipeliningFixture,
-                  "what stands behind a closing answer does not run") {
+                  "a request after a closing response does not run") {
   asio::steady_timer stop(loop, milliseconds(30));
   stop.async_wait([this](const boost::system::error_code& /*error*/) {
     server->DisableKeepAlive();
   });
-  const std::string answers =
+  const std::string responses =
       SendPipelined(Post("/ahead/pause", "1") + Post("/once", "2"), "echo:2");
-  CHECK(answers.find("echo:1") != std::string::npos);
-  CHECK(answers.find("Connection: close") != std::string::npos);
-  CHECK(answers.find("echo:2") == std::string::npos);
+  CHECK(responses.find("echo:1") != std::string::npos);
+  CHECK(responses.find("Connection: close") != std::string::npos);
+  CHECK(responses.find("echo:2") == std::string::npos);
   CHECK(handler.handled == 1);
 }
 
 TEST_CASE_FIXTURE(PipeliningFixture,
-                  "a stopping server starts nothing that was sent ahead") {
+                  "a stopping server starts no pipelined request") {
   server->DisableKeepAlive();
-  const std::string answers =
+  const std::string responses =
       SendPipelined(Post("/ahead/pause", "1") + Post("/ahead", "2"), "echo:2");
-  CHECK(answers.find("echo:1") != std::string::npos);
+  CHECK(responses.find("echo:1") != std::string::npos);
   CHECK(handler.handled == 1);
 }
 
-// The caller leaves while several of its requests are served.
+// A caller disconnects while several of its requests are being handled.
 TEST_CASE_FIXTURE(PipeliningFixture,
-                  "a caller that goes ends all that it sent") {
+                  "a disconnect cancels all requests of its connection") {
   const auto leave = [this]() -> Task<> {
     tcp::socket socket(loop);
     co_await socket.async_connect(
@@ -436,10 +438,10 @@
   CHECK(server->in_flight() == 0);
 }
 
-// Long bodies filled the link into a node that would have refused them.
+// Long bodies filled the link to a node that would have rejected them.
 TEST_CASE_FIXTURE(
     EchoServer,
-    "a body that is asked for first is sent when it is taken, else not") {
+    "a body that expects 100 Continue is sent only if it is admitted") {
   const auto calls = [&]() -> Task<> {
     auto connection =
         co_await AsyncHttpConnection::Open(loop, kServer, kTimeout);
@@ -452,7 +454,7 @@
       CHECK(taken.body == "echo:" + request.body);
       CHECK(connection->is_reusable());
     }
-    CHECK(handler.places_open == 0);
+    CHECK(handler.open_reservations == 0);
     request.target = "/full";
     const HttpResponse refused =
         co_await connection->CallExpectingContinue(request, kTimeout);
@@ -461,12 +463,13 @@
   };
   RunTask(loop, calls);
   CHECK(handler.handled == 2);
-  CHECK(handler.places_given == 2);
+  CHECK(handler.reservations_made == 2);
 }
 
-// A place that its sender left while it waited would be held for good.
-TEST_CASE_FIXTURE(EchoServer,
-                  "the place of a body whose sender goes is given back") {
+// A reservation whose sender disconnects while it waits would be held forever.
+TEST_CASE_FIXTURE(
+    EchoServer,
+    "the reservation of a body is released if its sender leaves") {
   const auto call = [&]() -> Task<> {
     tcp::socket socket(loop);
     co_await socket.async_connect(
@@ -476,24 +479,25 @@
         "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n"
         "Expect: 100-continue\r\n\r\n";
     co_await asio::async_write(socket, asio::buffer(head), asio::use_awaitable);
-    std::string answer;
-    co_await asio::async_read_until(socket, asio::dynamic_buffer(answer),
+    std::string response;
+    co_await asio::async_read_until(socket, asio::dynamic_buffer(response),
                                     "\r\n\r\n", asio::use_awaitable);
-    CHECK(answer.starts_with("HTTP/1.1 100"));
-    CHECK(handler.places_open == 1);
+    CHECK(response.starts_with("HTTP/1.1 100"));
+    CHECK(handler.open_reservations == 1);
     socket.close();
     asio::steady_timer timer(loop, milliseconds(100));
     co_await timer.async_wait(asio::use_awaitable);
   };
   RunTask(loop, call);
-  CHECK(handler.places_given == 1);
-  CHECK(handler.places_open == 0);
+  CHECK(handler.reservations_made == 1);
+  CHECK(handler.open_reservations == 0);
   CHECK(handler.handled == 0);
 }
 
-// A grant waits for its connection while its node is paused. Sent after that it
-// would count from then, and two targets would hold the same keys.
-TEST_CASE_FIXTURE(EchoServer, "a call whose time is over is not sent") {
+// A grant waits for its connection while its node is paused. If it were sent
+// after that, its hold would count from then, and two targets would hold the
+// same keys.
+TEST_CASE_FIXTURE(EchoServer, "a call without time left is not sent") {
   bool has_timed_out = false;
   const auto call = [&]() -> Task<> {
     auto connection =
@@ -512,8 +516,7 @@
   CHECK(handler.handled == 0);
 }
 
-TEST_CASE(
-    "a connection that nobody listens for is refused, as a type of its own") {
+TEST_CASE("connecting to a closed port throws ConnectRefusedError") {
   asio::io_context loop;
   bool was_refused = false;
   const auto call = [&]() -> Task<> {
@@ -528,9 +531,9 @@
   CHECK(was_refused);
 }
 
-// Guards against long answers over narrow links that are given up after a fixed
-// time, though they move on.
-TEST_CASE("a long answer may take as long as it moves on") {
+// Long responses over slow links were given up after a fixed time although they
+// made progress.
+TEST_CASE("a long response does not time out while it makes progress") {
   constexpr int kPieces = 8;
   constexpr milliseconds kBetween{60};
   CHECK(CallServerSendingPieces(kPieces, kBetween, 2 * kBetween) ==
@@ -539,8 +542,8 @@
         CallEnd::kTimedOut);
 }
 
-// An answer that ends early must not look complete, whichever way it ends.
-TEST_CASE("answers that break off, or are none, are told apart") {
+// A truncated response must not look complete, however its connection ends.
+TEST_CASE("truncated, missing and malformed responses are told apart") {
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n";
   CHECK(CallAgainst(head + "0123456789", nullptr) == CallEnd::kAnswered);
   CHECK(CallAgainst(head + "0123", CloseSocket) == CallEnd::kTruncated);
@@ -552,7 +555,7 @@
 }
 
 TEST_CASE(
-    "an answer without a length ends with its connection, unless that is "
+    "a response without a length ends with its connection, but not by a "
     "reset") {
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   std::string body;
--- a/modules/transport/async/beast_headers.h
+++ b/modules/transport/async/beast_headers.h
@@ -7,7 +7,7 @@
 
 namespace citrongrade {
 
-// Header lines between the library's messages and ours.
+// Returns the header fields of a Boost.Beast message.
 template <typename Fields>
 std::vector<HttpHeader> HeadersOf(const Fields& fields) {
   std::vector<HttpHeader> headers;
--- a/modules/transport/async/request_context.h
+++ b/modules/transport/async/request_context.h
@@ -8,8 +8,9 @@
 
 namespace citrongrade {
 
-// What a request's server knows of it beside its content, and how it learns
-// that its caller is gone. One for each request, on the event loop.
+// What a handler knows of a request beside its content, and how it learns that
+// the caller has disconnected. There is one for each request, on the event
+// loop.
 class RequestContext {
  public:
   RequestContext(Clock::TimePoint arrived, std::string caller_ip)
@@ -17,29 +18,28 @@
   RequestContext(const RequestContext&) = delete;
   RequestContext& operator=(const RequestContext&) = delete;
 
-  // When its head was read.
+  // When the request's header had been read.
   Clock::TimePoint arrived() const { return m_arrived; }
   const std::string& caller_ip() const { return m_caller_ip; }
   bool is_caller_gone() const { return m_is_caller_gone; }
-  // Looks at the connection itself. The close of a caller whose request was
-  // held up on its way comes together with the request, before the event loop
-  // has told of it.
+  // Also checks the socket. If a request was delayed in transit, the caller's
+  // close may arrive together with it, before the event loop has reported it.
   bool ProbeCallerGone() const {
     return m_is_caller_gone || (m_probe && m_probe());
   }
   void SetProbe(std::function<bool()> probe) { m_probe = std::move(probe); }
 
-  // `stop` is called, once, when the caller goes: it makes whatever the request
-  // waits for fail. Replaces the one before.
-  void SetCancelCallback(std::function<void()> stop) {
-    m_cancel = std::move(stop);
+  // `callback` is called once if the caller disconnects, and makes whatever the
+  // request waits for fail. Replaces the previous callback.
+  void SetCancelCallback(std::function<void()> callback) {
+    m_cancel = std::move(callback);
   }
   void ClearCancelCallback() { m_cancel = nullptr; }
 
   void OnCallerGone() {
     m_is_caller_gone = true;
-    if (auto stop = std::exchange(m_cancel, nullptr))
-      stop();
+    if (auto callback = std::exchange(m_cancel, nullptr))
+      callback();
   }
 
  private:
--- a/modules/transport/async/socket_probe.h
+++ b/modules/transport/async/socket_probe.h
@@ -5,13 +5,13 @@
 enum class SocketState {
   // Open, with nothing to read.
   kIdle,
-  // Bytes have come that nobody has read.
+  // Received bytes wait to be read.
   kReadable,
-  // The peer closed or reset it.
+  // The peer has closed or reset the connection.
   kClosed,
 };
 
-// What a look at the socket shows, without taking anything off it or waiting.
+// Returns the state of a socket, without consuming bytes or blocking.
 SocketState ProbeSocket(int handle);
 
 }  // namespace citrongrade
--- a/modules/transport/async/task.h
+++ b/modules/transport/async/task.h
@@ -4,8 +4,8 @@
 
 namespace citrongrade {
 
-// Work of the event loop that waits for others; every co_await in it may let
-// other tasks run. All tasks of a process share one thread.
+// A coroutine on the event loop. Every co_await may let other tasks run; all
+// tasks of a process share one thread.
 template <typename Result = void>
 using Task = boost::asio::awaitable<Result>;
 
