--- a/programs/citrongrade-router/main.cc
+++ b/programs/citrongrade-router/main.cc
@@ -18,8 +18,8 @@
 
 namespace {
 
-// Lines that wait for the log's thread. When it is full the oldest go: a node
-// must not wait for whoever reads its log.
+// Lines in the queue to the logging thread. When it is full, the oldest lines
+// are dropped: a slow reader of the log must not block the node.
 constexpr std::size_t kLogQueueLength = 256;
 
 void SetUpAsyncLogging(bool verbose) {
@@ -36,38 +36,40 @@
   const char* file = std::getenv(platform::kSettingsFileVariable);
   if (file != nullptr)
     settings.settings_file = file;
-  reader.Add("--settings-file", settings.settings_file,
-             "the platform's settings file; default: where the platform says");
+  reader.Add(
+      "--settings-file", settings.settings_file,
+      "path of the platform's settings file; default: $CITRONGRADE_NODE_FILE");
   reader.AddRule([&settings] { return !settings.settings_file.empty(); },
                  "--settings-file must be set");
   reader.Add("--published-ip", settings.published_ip,
              "address at which other nodes reach this one; default: its own");
   reader.AddSwitch("--check-settings", settings.check_only,
-                   "read the settings, say what is wrong, and end");
+                   "check the settings, report errors, and exit");
   reader.AddSwitch("--verbose", settings.verbose, "log debug events too");
   reader.Add("--log-failures-per-second", settings.log_failures_per_second,
-             "lines for each event of requests that were not served");
+             "log lines for each event of requests that were not served");
   reader.Add("--log-successes-per-second", settings.log_successes_per_second,
-             "lines for each event of requests that were served");
+             "log lines for each event of requests that were served");
   reader.Add("--settings-check-ms", settings.settings_check_interval,
-             "how often the settings file is looked at");
+             "how often the settings file is checked for changes");
   reader.Add("--max-body-bytes", settings.max_body_bytes,
-             "longest body of a request; it is held in memory");
+             "largest request body; bodies are held in memory");
 }
 
 int Run(int argc, char** argv) {
-  SettingsReader reader("Router process beside one target of the platform");
+  SettingsReader reader("Router process for one target of the platform");
   RouterSettings settings;
   AddSettings(reader, settings);
   if (!reader.Read(argc, argv))
     return EXIT_SUCCESS;
   const auto file = platform::SettingsFile::Read(settings.settings_file);
   if (settings.check_only) {
-    std::cout << "settings are well\n";
+    std::cout << "settings are valid\n";
     return EXIT_SUCCESS;
   }
   SetUpAsyncLogging(settings.verbose);
-  // A write to a connection that its peer closed would end the process.
+  // Otherwise a write to a connection that its peer has closed would end the
+  // process.
   std::signal(SIGPIPE, SIG_IGN);
   RouterNode node(settings, file);
   node.Run();
--- a/programs/citrongrade-router/report_handler.cc
+++ b/programs/citrongrade-router/report_handler.cc
@@ -44,17 +44,18 @@
   using platform::TargetReportCodec;
   try {
     const TargetReport report = TargetReportCodec::Decode(id, request.body);
-    // Only the target beside this node can be given work here.
+    // This node sends requests only to its own target.
     if (report.address != m_target_controller.address().ToString())
-      throw platform::InvalidReportError("Address: of another host");
+      throw platform::InvalidReportError(
+          "Address: not that of this node's target");
     if (m_target_controller.OnReport(report) ==
         TargetController::ReportResult::kOutdated) {
       spdlog::info("event=target-report-outdated target={} sequence={}", id,
                    report.sequence);
       co_return Respond(kOk);
     }
-    const auto statement = co_await m_target_controller.AwaitStatement(report);
-    co_return Respond(kOk, TargetReportCodec::EncodeReply(statement));
+    const auto reply = co_await m_target_controller.AwaitStatement(report);
+    co_return Respond(kOk, TargetReportCodec::EncodeReply(reply));
   } catch (const platform::InvalidReportError& error) {
     spdlog::warn("event=target-report-unreadable target={} reason=\"{}\"", id,
                  error.what());
--- a/programs/citrongrade-router/report_handler.h
+++ b/programs/citrongrade-router/report_handler.h
@@ -7,12 +7,12 @@
 
 class TargetController;
 
-// What the target beside this node says of itself, and what it is told to hold
-// in the answers.
+// Receives the reports of this node's target, and replies with the ranges that
+// it is to hold.
 class ReportHandler final : public AsyncHttpServer::Handler {
  public:
-  explicit ReportHandler(TargetController& keeper)
-      : m_target_controller(keeper) {}
+  explicit ReportHandler(TargetController& controller)
+      : m_target_controller(controller) {}
 
   Task<HttpResponse> Handle(HttpRequest request,
                             RequestContext& context) override;
--- a/programs/citrongrade-router/router_node.cc
+++ b/programs/citrongrade-router/router_node.cc
@@ -45,18 +45,19 @@
 
 constexpr milliseconds kTickInterval{25};
 constexpr int kTicksPerRefresh = 4;
-// Part of the time after a confirmed leave in which the target still gets work;
-// the rest is for requests on their way.
+// Fraction of the drain time in which the target still gets new requests; the
+// rest is for requests in flight.
 constexpr double kDrainFraction = 0.75;
-// Callers learn that this node stops by two readiness checks, a second apart.
+// Callers learn that this node stops from two readiness checks, one second
+// apart.
 constexpr milliseconds kReadinessPropagationDelay{2300};
-// Keys that can't be given away by then are given up.
+// Keys that are not handed over by then are abandoned.
 constexpr milliseconds kMaxHandoverTime{3600};
 constexpr milliseconds kTerminationMargin{500};
-// This node's part of the mesh's retries; the rest is a reserve, as nodes do
-// not tell each other how many they have used.
+// Fraction of the mesh's extra retries that the nodes share; the rest is a
+// reserve, as nodes do not tell each other how many they have used.
 constexpr double kRetryFraction = 0.5;
-// A caller's head and what nodes add to it.
+// Forwarded requests may have larger headers: nodes add theirs to the caller's.
 constexpr std::size_t kForwardedHeaderFactor = 2;
 constexpr double kBytesPerMegabit = 1e6 / 8;
 constexpr std::size_t kStatusHeaderBytes = std::size_t{8} * 1024;
@@ -64,7 +65,7 @@
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
 
-// A handler made of a function, for what answers at once.
+// Handler that gets its response from a function, without waiting.
 class FunctionHandler final : public AsyncHttpServer::Handler {
  public:
   using Function = std::function<HttpResponse(const HttpRequest&)>;
@@ -113,9 +114,10 @@
   return {file.ip, static_cast<std::uint16_t>(file.first_mesh_port + index)};
 }
 
-// With less of either, a host's node is less fit to lead. A leader of 61 nodes
-// with a tenth of a core answered them seconds late; a whole view for each of
-// 75 nodes is 1 MB, which a link of 20 Mbit/s carries in half a second.
+// Cores and bandwidth of a node with full leader fitness; with less of either,
+// it is less fit to lead. A leader of 61 nodes with a tenth of a core answered
+// them seconds late. A complete view for each of 75 nodes is 1 MB, which a link
+// of 20 Mbit/s carries in half a second.
 constexpr double kFullFitnessCores = 0.5;
 constexpr double kFullFitnessLinkMbps = 100;
 
@@ -124,7 +126,7 @@
                    file.link_mbps / kFullFitnessLinkMbps});
 }
 
-// What this node tells others of itself.
+// What this node tells other nodes about itself.
 MeshAgent::Identity MakeIdentity(const RouterSettings& settings,
                                  const platform::SettingsFile& file) {
   HttpAddress mesh = MeshAddress(file, 0);
@@ -148,8 +150,8 @@
 
 }  // namespace
 
-// The members stand in order of use: each uses only those above it, and the
-// listeners that this object itself is.
+// Members are declared in order of dependency: each uses only those above it,
+// and this object as a listener.
 class RouterNode::Implementation final : public ConfigFollower::Listener,
                                          public TargetController::Listener,
                                          public MeshAgent::Listener {
@@ -302,17 +304,17 @@
 }
 
 void RouterNode::Implementation::OnConfig(const RoutingConfig& config) {
-  std::set<std::string> divided;
+  std::set<std::string> sharded;
   for (const auto& [name, service] : config.services) {
     if (service.is_sharded)
-      divided.insert(name);
+      sharded.insert(name);
   }
-  m_agent.SetShardedServices(std::move(divided));
+  m_agent.SetShardedServices(std::move(sharded));
   m_caller_server.SetIdleTimeout(config.limits.idle_timeout);
   const std::size_t header_bytes = config.limits.max_header_bytes;
   m_caller_server.SetMaxHeaderBytes(header_bytes);
   m_forwarded_server.SetMaxHeaderBytes(kForwardedHeaderFactor * header_bytes);
-  // The leader may not have it yet.
+  // The leader may not have this configuration yet.
   if (m_agent.should_read_store())
     m_agent.TriggerHeartbeat();
 }
@@ -387,7 +389,8 @@
       return;
     spdlog::info("event=settings-reloaded cause={} service={}", cause,
                  file.service);
-    // Addresses stay: they belong to the host, and sockets listen on them.
+    // Addresses are not reloaded: they belong to the host, and the servers
+    // already listen on them.
     m_file.service = file.service;
     m_file.mesh_retry_burst = file.mesh_retry_burst;
     m_router.SetOriginService(file.service);
@@ -414,19 +417,19 @@
 
 Task<> RouterNode::Implementation::Stop() {
   boost::asio::steady_timer timer(m_loop);
-  const Clock::TimePoint began = m_clock.Now();
+  const Clock::TimePoint start = m_clock.Now();
   m_agent.SetLeaving();
-  const auto passed = [this, began] { return m_clock.Now() - began; };
+  const auto elapsed = [this, start] { return m_clock.Now() - start; };
   m_caller_server.DisableKeepAlive();
-  while (passed() < kReadinessPropagationDelay ||
+  while (elapsed() < kReadinessPropagationDelay ||
          (!m_target_controller.HasNothingToGiveBack() &&
-          passed() < kMaxHandoverTime)) {
+          elapsed() < kMaxHandoverTime)) {
     timer.expires_after(kTickInterval);
     co_await timer.async_wait(boost::asio::use_awaitable);
   }
   m_caller_server.Close();
   m_forwarded_server.Close();
-  const auto longest = m_file.termination_grace - kTerminationMargin;
+  const auto max_time = m_file.termination_grace - kTerminationMargin;
   const auto connections = [this] {
     return m_caller_server.connection_count() +
            m_forwarded_server.connection_count();
@@ -434,7 +437,7 @@
   const auto leads_alone = [this] {
     return m_agent.is_leader() && m_agent.view().members().size() > 1;
   };
-  while ((connections() > 0 || leads_alone()) && passed() < longest) {
+  while ((connections() > 0 || leads_alone()) && elapsed() < max_time) {
     timer.expires_after(kTickInterval);
     co_await timer.async_wait(boost::asio::use_awaitable);
   }
@@ -486,9 +489,10 @@
                                 {"state", static_cast<int>(member->state)}});
   }
   for (const auto& [service, table] : m_agent.view().tables()) {
-    for (const SlotAssignment& run : table.assignments()) {
-      state["runs"][service].push_back(
-          {run.range.first_key(), run.range.last_key(), run.owner, run.fence});
+    for (const SlotAssignment& assignment : table.assignments()) {
+      state["runs"][service].push_back({assignment.range.first_key(),
+                                        assignment.range.last_key(),
+                                        assignment.owner, assignment.fence});
     }
   }
   return state.dump(2);
--- a/programs/citrongrade-router/router_node.h
+++ b/programs/citrongrade-router/router_node.h
@@ -7,8 +7,8 @@
 
 namespace citrongrade {
 
-// One node on the platform: everything in it, on one event loop. Kin: Node, for
-// hosts whose log is a plain one.
+// A router node on the platform, with all its components on one event loop. See
+// also: Node, for hosts whose log is a plain one.
 class RouterNode {
  public:
   // Throws HttpServerStartError, AddressInUseError.
@@ -18,7 +18,8 @@
   RouterNode(const RouterNode&) = delete;
   RouterNode& operator=(const RouterNode&) = delete;
 
-  // Serves until it is told to stop by a signal and has given its keys away.
+  // Serves requests until a signal stops the node and it has handed over its
+  // keys.
   void Run();
 
  private:
--- a/programs/citrongrade-router/router_settings.h
+++ b/programs/citrongrade-router/router_settings.h
@@ -7,20 +7,21 @@
 
 namespace citrongrade {
 
-// Settings of the node's own. What the platform says stands in its file.
+// The node's own settings. The platform's are in platform::SettingsFile.
 struct RouterSettings {
   std::string settings_file;
-  // Where other nodes reach this one; empty: at the settings file's address.
-  // Another one where an address is translated on the way.
+  // IP address at which other nodes reach this one; empty: the address in the
+  // settings file. It differs where addresses are translated.
   std::string published_ip;
   bool check_only = false;
   bool verbose = false;
-  // Log lines a second for each event.
+  // Maximum log lines per second of each event.
   double log_failures_per_second = 10;
   double log_successes_per_second = 1;
-  // How often the settings file is looked at for a change without a signal.
+  // How often the settings file is checked for changes; SIGHUP checks it at
+  // once.
   std::chrono::milliseconds settings_check_interval{1000};
-  // A longer body is refused: bodies are held whole.
+  // Longer bodies are rejected, as bodies are held in memory as a whole.
   std::size_t max_body_bytes = std::size_t{8} << 20U;
 
   friend auto operator<=>(const RouterSettings&,
