--- a/modules/transport/async/async_http_test.cc
+++ b/modules/transport/async/async_http_test.cc
@@ -149,7 +149,9 @@
   kMalformed
 };
 
-Task<> CallRawServer(asio::io_context& loop, CallEnd& end, std::string& body) {
+Task<> CallRawServer(asio::io_context& loop,
+                     CallOutcome& end,
+                     std::string& body) {
   auto connection =
       co_await AsyncHttpConnection::Open(loop, kRawServer, kTimeout);
   HttpRequest request;
@@ -157,27 +159,27 @@
     HttpResponse response =
         co_await connection->Call(request, milliseconds(200));
     body = response.body;
-    end = CallEnd::kAnswered;
+    end = CallOutcome::kAnswered;
   } catch (const ResponseTimeoutError&) {
-    end = CallEnd::kTimedOut;
+    end = CallOutcome::kTimedOut;
   } catch (const ConnectionClosedError&) {
-    end = CallEnd::kClosed;
+    end = CallOutcome::kClosed;
   } catch (const TruncatedBodyError&) {
-    end = CallEnd::kTruncated;
+    end = CallOutcome::kTruncated;
   } catch (const MalformedResponseError&) {
-    end = CallEnd::kMalformed;
+    end = CallOutcome::kMalformed;
   }
 }
 
-CallEnd CallAgainst(const std::string& response,
-                    std::function<void(tcp::socket&)> after,
-                    std::string* body = nullptr) {
+CallOutcome CallAgainst(const std::string& response,
+                        std::function<void(tcp::socket&)> after,
+                        std::string* body = nullptr) {
   asio::io_context loop;
   tcp::acceptor acceptor(
       loop, {asio::ip::make_address(kRawServer.ip), kRawServer.port});
   asio::co_spawn(loop, ServeRaw(acceptor, response, std::move(after)),
                  asio::detached);
-  CallEnd end = CallEnd::kAnswered;
+  CallOutcome end = CallOutcome::kAnswered;
   std::string text;
   RunTask(loop, [&] { return CallRawServer(loop, end, text); });
   if (body != nullptr)
@@ -187,9 +189,9 @@
 
 // Calls a server that sends its response piece by piece, with a timeout for
 // each piece.
-CallEnd CallServerSendingPieces(int pieces,
-                                milliseconds between,
-                                milliseconds timeout) {
+CallOutcome CallServerSendingPieces(int pieces,
+                                    milliseconds between,
+                                    milliseconds timeout) {
   asio::io_context loop;
   tcp::acceptor acceptor(
       loop, {asio::ip::make_address(kRawServer.ip), kRawServer.port});
@@ -211,7 +213,7 @@
     }
   };
   asio::co_spawn(loop, serve, asio::detached);
-  CallEnd end = CallEnd::kAnswered;
+  CallOutcome end = CallOutcome::kAnswered;
   RunTask(loop, [&]() -> Task<> {
     auto connection =
         co_await AsyncHttpConnection::Open(loop, kRawServer, kTimeout);
@@ -219,7 +221,7 @@
     try {
       co_await connection->CallWithProgressTimeout(request, kTimeout, timeout);
     } catch (const ResponseTimeoutError&) {
-      end = CallEnd::kTimedOut;
+      end = CallOutcome::kTimedOut;
     }
   });
   return end;
@@ -537,21 +539,21 @@
   constexpr int kPieces = 8;
   constexpr milliseconds kBetween{60};
   CHECK(CallServerSendingPieces(kPieces, kBetween, 2 * kBetween) ==
-        CallEnd::kAnswered);
+        CallOutcome::kAnswered);
   CHECK(CallServerSendingPieces(kPieces, kBetween, kBetween / 3) ==
-        CallEnd::kTimedOut);
+        CallOutcome::kTimedOut);
 }
 
 // A truncated response must not look complete, however its connection ends.
 TEST_CASE("truncated, missing and malformed responses are told apart") {
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n";
-  CHECK(CallAgainst(head + "0123456789", nullptr) == CallEnd::kAnswered);
-  CHECK(CallAgainst(head + "0123", CloseSocket) == CallEnd::kTruncated);
-  CHECK(CallAgainst(head + "0123", ResetSocket) == CallEnd::kTruncated);
-  CHECK(CallAgainst(head + "0123", nullptr) == CallEnd::kTimedOut);
-  CHECK(CallAgainst("", CloseSocket) == CallEnd::kClosed);
-  CHECK(CallAgainst("", ResetSocket) == CallEnd::kClosed);
-  CHECK(CallAgainst("garbage\r\n\r\n", nullptr) == CallEnd::kMalformed);
+  CHECK(CallAgainst(head + "0123456789", nullptr) == CallOutcome::kAnswered);
+  CHECK(CallAgainst(head + "0123", CloseSocket) == CallOutcome::kTruncated);
+  CHECK(CallAgainst(head + "0123", ResetSocket) == CallOutcome::kTruncated);
+  CHECK(CallAgainst(head + "0123", nullptr) == CallOutcome::kTimedOut);
+  CHECK(CallAgainst("", CloseSocket) == CallOutcome::kClosed);
+  CHECK(CallAgainst("", ResetSocket) == CallOutcome::kClosed);
+  CHECK(CallAgainst("garbage\r\n\r\n", nullptr) == CallOutcome::kMalformed);
 }
 
 TEST_CASE(
@@ -559,9 +561,10 @@
     "reset") {
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   std::string body;
-  CHECK(CallAgainst(head + "whole", CloseSocket, &body) == CallEnd::kAnswered);
+  CHECK(CallAgainst(head + "whole", CloseSocket, &body) ==
+        CallOutcome::kAnswered);
   CHECK(body == "whole");
-  CHECK(CallAgainst(head + "part", ResetSocket) == CallEnd::kTruncated);
+  CHECK(CallAgainst(head + "part", ResetSocket) == CallOutcome::kTruncated);
 }
 
 }  // namespace citrongrade
