--- a/programs/citrongrade-router/main.cc
+++ b/programs/citrongrade-router/main.cc
@@ -36,9 +36,9 @@
   const char* file = std::getenv(platform::kSettingsFileVariable);
   if (file != nullptr)
     settings.settings_file = file;
-  reader.Add(
-      "--settings-file", settings.settings_file,
-      "path of the platform's settings file; default: $CITRONGRADE_NODE_FILE");
+  reader.Add("--settings-file", settings.settings_file,
+             "path of the platform's settings file; default: the path in the "
+             "platform's environment variable");
   reader.AddRule([&settings] { return !settings.settings_file.empty(); },
                  "--settings-file must be set");
   reader.Add("--published-ip", settings.published_ip,
