--- a/modules/coordination/load/admission_controller.h
+++ b/modules/coordination/load/admission_controller.h
@@ -40,7 +40,7 @@
 //
 // Not decided here: whether this node may serve the key (its lease is checked
 // after the queueing), which target runs a request of a service that isn't
-// divided by key (TargetPicker), and retries (RetryBudget).
+// sharded by key (TargetPicker), and retries (RetryBudget).
 class AdmissionController {
  public:
   struct Parameters {
--- a/modules/coordination/load/load_identifiers.h
+++ b/modules/coordination/load/load_identifiers.h
@@ -12,7 +12,7 @@
 using RequestTicket = StrongInteger<struct RequestTicketTag>;
 // xxHash of what distinguishes callers (an address or an account).
 using CallerHash = StrongInteger<struct CallerHashTag>;
-// xxHash of a request's key, or of its path for a service that isn't divided by
+// xxHash of a request's key, or of its path for a service that isn't sharded by
 // key.
 using KeyHash = StrongInteger<struct KeyHashTag>;
 // xxHash of a request's id, or of its service, key and body.
--- a/modules/coordination/mesh/lease_duration_controller_test.cc
+++ b/modules/coordination/mesh/lease_duration_controller_test.cc
@@ -8,7 +8,7 @@
 
 #include "modules/coordination/manual_clock.h"
 #include "modules/coordination/mesh/push_hold_tracker.h"
-#include "modules/coordination/testing/owned_runs.h"
+#include "modules/coordination/testing/slot_assignments.h"
 
 namespace citrongrade {
 
@@ -40,7 +40,7 @@
             std::log(static_cast<double>(mean.count())) - kSpread * kSpread / 2,
             kSpread) {
     m_clock.Advance(milliseconds(4000));
-    m_holds.SetAssignments({MakeOwnedRun(0, 9, 1)});
+    m_holds.SetAssignments({MakeOwnedAssignment(0, 9, 1)});
   }
 
   // Fraction of requests, started at any time, whose service time exceeds the
--- a/modules/coordination/mesh/polling_hold_tracker_test.cc
+++ b/modules/coordination/mesh/polling_hold_tracker_test.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "modules/coordination/manual_clock.h"
-#include "modules/coordination/testing/owned_runs.h"
+#include "modules/coordination/testing/slot_assignments.h"
 
 namespace citrongrade {
 
@@ -29,7 +29,7 @@
   }
 
   void Hold(std::uint32_t first, std::uint32_t last, std::uint64_t fence) {
-    holds.SetAssignments({MakeOwnedRun(first, last, fence)});
+    holds.SetAssignments({MakeOwnedAssignment(first, last, fence)});
     Beat({});
     Beat({{{{first, last}, fence}}, {}});
   }
@@ -41,7 +41,7 @@
 }  // namespace
 
 TEST_CASE_FIXTURE(Fixture, "keys are served once a reply has granted them") {
-  holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  holds.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   CHECK(holds.IsAwaitingGrant(15));
   CHECK(holds.HasPendingChanges());
   const auto reply = Beat({});
@@ -67,7 +67,7 @@
 // Guards against a hold that outlasts the node's lease because the node replies
 // late: the duration counts from when the report was sent.
 TEST_CASE_FIXTURE(Fixture, "a late reply grants no hold beyond the lease") {
-  holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  holds.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   const Clock::TimePoint reported = clock.Now();
   const Clock::TimePoint lease_until = reported + kLease;
   holds.OnReport({});
@@ -86,8 +86,9 @@
 TEST_CASE_FIXTURE(Fixture,
                   "keys that are to move are served until a reply omits them") {
   Hold(10, 20, 5);
-  holds.SetAssignments({MakeOwnedRun(10, 11, 5), MakeMovingRun(12, 13, 5),
-                        MakeOwnedRun(14, 20, 5)});
+  holds.SetAssignments({MakeOwnedAssignment(10, 11, 5),
+                        MakeMovingAssignment(12, 13, 5),
+                        MakeOwnedAssignment(14, 20, 5)});
   CHECK(holds.HasPendingChanges());
   CHECK(holds.MayServe(12));
   const auto reply = Beat({{{{10, 20}, 5}}, {}});
@@ -100,7 +101,7 @@
 
 TEST_CASE_FIXTURE(Fixture, "keys count as returned once a report says so") {
   Hold(10, 20, 5);
-  holds.SetAssignments({MakeMovingRun(10, 20, 5)});
+  holds.SetAssignments({MakeMovingAssignment(10, 20, 5)});
   Beat({{{{10, 20}, 5}}, {}});
   // Requests for these keys are still running.
   Beat({{{{10, 20}, 5}}, {}});
@@ -122,7 +123,7 @@
 TEST_CASE_FIXTURE(Fixture,
                   "a repeated report of released keys ends no later hold") {
   Hold(10, 20, 9);
-  holds.SetAssignments({MakeMovingRun(10, 20, 9)});
+  holds.SetAssignments({MakeMovingAssignment(10, 20, 9)});
   Beat({{{{10, 20}, 9}}, {}});
   Beat({{{{10, 20}, 9}}, {{{10, 20}, "old"}}});
   CHECK(holds.ReturnedRanges().empty());
@@ -134,9 +135,9 @@
 TEST_CASE_FIXTURE(
     Fixture,
     "unreported keys are returned only after their grants expire") {
-  holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  holds.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   const auto reply = Beat({});
-  holds.SetAssignments({MakeMovingRun(10, 20, 5)});
+  holds.SetAssignments({MakeMovingAssignment(10, 20, 5)});
   // The target reports the keys neither as held nor as released.
   clock.Advance(milliseconds(100));
   holds.MakeGrantReply(clock.Now(), clock.Now() + kLease);
@@ -150,7 +151,7 @@
 }
 
 TEST_CASE_FIXTURE(Fixture, "the next reply repeats a lost grant") {
-  holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  holds.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   Beat({});
   const auto again = Beat({});
   REQUIRE(again.ranges.size() == 1);
@@ -163,7 +164,7 @@
 // reply.
 TEST_CASE_FIXTURE(Fixture,
                   "a range that the target never accepts needs a new token") {
-  holds.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  holds.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   for (unsigned i = 0; i < PollingHoldTracker::kMaxIgnoredReplies; ++i)
     Beat({});
   CHECK(holds.ReturnedRanges().empty());
@@ -177,7 +178,7 @@
 // running and holds its keys.
 TEST_CASE_FIXTURE(Fixture, "a new process keeps the holds of its target") {
   PollingHoldTracker restarted(clock, kLease);
-  restarted.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  restarted.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   restarted.OnReport({{{{10, 20}, 5}}, {}});
   const auto reply =
       restarted.MakeGrantReply(clock.Now(), clock.Now() + kLease);
@@ -199,7 +200,7 @@
 TEST_CASE_FIXTURE(Fixture, "a full reply lists held ranges first") {
   std::vector<SlotAssignment> owned;
   for (std::uint32_t i = 0; i < 60; ++i)
-    owned.push_back(MakeOwnedRun(1000 + 2 * i, 1000 + 2 * i, 100 + i));
+    owned.push_back(MakeOwnedAssignment(1000 + 2 * i, 1000 + 2 * i, 100 + i));
   holds.SetAssignments(owned);
   const auto first = Beat({});
   PollingHoldTracker::Report report;
@@ -207,7 +208,7 @@
     report.held.push_back({row.range, row.fence});
   std::vector<SlotAssignment> more;
   for (std::uint32_t i = 0; i < 200; ++i)
-    more.push_back(MakeOwnedRun(2 * i, 2 * i, 300 + i));
+    more.push_back(MakeOwnedAssignment(2 * i, 2 * i, 300 + i));
   more.insert(more.end(), owned.begin(), owned.end());
   holds.SetAssignments(more);
   const auto next = Beat(report);
--- a/modules/coordination/mesh/push_hold_tracker_test.cc
+++ b/modules/coordination/mesh/push_hold_tracker_test.cc
@@ -3,7 +3,7 @@
 #include <doctest/doctest.h>
 
 #include "modules/coordination/manual_clock.h"
-#include "modules/coordination/testing/owned_runs.h"
+#include "modules/coordination/testing/slot_assignments.h"
 
 namespace citrongrade {
 
@@ -25,7 +25,7 @@
   }
 
   void Hold(std::uint32_t first, std::uint32_t last, std::uint64_t fence) {
-    tracker.SetAssignments({MakeOwnedRun(first, last, fence)});
+    tracker.SetAssignments({MakeOwnedAssignment(first, last, fence)});
     tracker.OnGranted(GrantOne().id);
   }
 
@@ -37,7 +37,7 @@
 
 TEST_CASE_FIXTURE(Fixture,
                   "keys are served once granted, until the hold ends") {
-  tracker.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  tracker.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   CHECK(tracker.IsAwaitingGrant(15));
   CHECK_FALSE(tracker.MayServe(15));
   const PushHoldTracker::Grant grant = GrantOne();
@@ -67,8 +67,9 @@
 TEST_CASE_FIXTURE(Fixture,
                   "a part of a range is returned with the target's handover") {
   Hold(10, 20, 5);
-  tracker.SetAssignments({MakeOwnedRun(10, 11, 5), MakeMovingRun(12, 13, 5),
-                          MakeOwnedRun(14, 20, 5)});
+  tracker.SetAssignments({MakeOwnedAssignment(10, 11, 5),
+                          MakeMovingAssignment(12, 13, 5),
+                          MakeOwnedAssignment(14, 20, 5)});
   CHECK_FALSE(tracker.MayServe(12));
   CHECK(tracker.IsBeingReleased(13));
   CHECK(tracker.MayServe(11));
@@ -88,7 +89,8 @@
   for (const PushHoldTracker::Grant& grant :
        tracker.DueGrants(clock.Now() + kLease))
     CHECK_FALSE(grant.range.Overlaps({12, 13}));
-  tracker.SetAssignments({MakeOwnedRun(10, 11, 5), MakeOwnedRun(14, 20, 5)});
+  tracker.SetAssignments(
+      {MakeOwnedAssignment(10, 11, 5), MakeOwnedAssignment(14, 20, 5)});
   CHECK(tracker.ReturnedRanges().empty());
 }
 
@@ -103,7 +105,7 @@
   const PushHoldTracker::Grant renewal = GrantOne();
   clock.Advance(PushHoldTracker::kCallTimeout);
   tracker.OnGrantUnanswered(renewal.id);
-  tracker.SetAssignments({MakeMovingRun(10, 20, 5)});
+  tracker.SetAssignments({MakeMovingAssignment(10, 20, 5)});
   const auto due = tracker.DueReleases();
   REQUIRE(due.size() == 1);
   tracker.OnReleased(due.front().id, "token");
@@ -120,7 +122,7 @@
 TEST_CASE("a process that has just started asks its target to release") {
   ManualClock clock;
   PushHoldTracker tracker(clock);
-  tracker.SetAssignments({MakeMovingRun(10, 20, 5)});
+  tracker.SetAssignments({MakeMovingAssignment(10, 20, 5)});
   CHECK(tracker.ReturnedRanges().empty());
   const auto due = tracker.DueReleases();
   REQUIRE(due.size() == 1);
@@ -135,7 +137,7 @@
 TEST_CASE_FIXTURE(Fixture,
                   "a release that is never answered ends with the hold") {
   Hold(10, 20, 5);
-  tracker.SetAssignments({MakeMovingRun(10, 20, 5)});
+  tracker.SetAssignments({MakeMovingAssignment(10, 20, 5)});
   const auto due = tracker.DueReleases();
   tracker.OnReleaseUnanswered(due.front().id);
   CHECK(tracker.ReturnedRanges().empty());
@@ -155,7 +157,7 @@
   clock.Advance(PushHoldTracker::kRenewalInterval);
   const PushHoldTracker::Grant renewal = GrantOne();
   tracker.SetAssignments({});
-  tracker.SetAssignments({MakeMovingRun(10, 20, 5)});
+  tracker.SetAssignments({MakeMovingAssignment(10, 20, 5)});
   CHECK_FALSE(tracker.MayServe(15));
   CHECK(tracker.DueGrants(clock.Now() + kLease).empty());
   const auto due = tracker.DueReleases();
@@ -175,7 +177,7 @@
   clock.Advance(PushHoldTracker::kRenewalInterval);
   tracker.OnGrantNotSent(GrantOne().id);
   CHECK(tracker.DueGrants(clock.Now() + kLease).empty());
-  tracker.SetAssignments({MakeMovingRun(10, 20, 5)});
+  tracker.SetAssignments({MakeMovingAssignment(10, 20, 5)});
   const auto due = tracker.DueReleases();
   REQUIRE(due.size() == 1);
   tracker.OnReleased(due.front().id, "token");
@@ -183,7 +185,7 @@
 }
 
 TEST_CASE_FIXTURE(Fixture, "a grant that the target refuses is given up") {
-  tracker.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  tracker.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   tracker.OnGrantRefused(GrantOne().id);
   CHECK_FALSE(tracker.MayServe(15));
   CHECK(tracker.ReturnedRanges().size() == 1);
@@ -196,7 +198,7 @@
   ManualClock clock;
   PushHoldTracker tracker(clock);
   tracker.SetMaxLease(kMaxLease);
-  tracker.SetAssignments({MakeMovingRun(10, 20, 5)});
+  tracker.SetAssignments({MakeMovingAssignment(10, 20, 5)});
   const auto due = tracker.DueReleases();
   REQUIRE(due.size() == 1);
   tracker.OnReleased(due.front().id, "token");
@@ -208,7 +210,7 @@
 
 TEST_CASE_FIXTURE(Fixture,
                   "a request may run for as long as its hold remains") {
-  tracker.SetAssignments({MakeOwnedRun(10, 20, 5)});
+  tracker.SetAssignments({MakeOwnedAssignment(10, 20, 5)});
   CHECK(tracker.RemainingHold(15) == Clock::Duration::zero());
   const PushHoldTracker::Grant grant = GrantOne();
   tracker.OnGranted(grant.id);
--- a/modules/coordination/testing/owned_runs.h
+++ b/modules/coordination/testing/slot_assignments.h
@@ -7,9 +7,9 @@
 namespace citrongrade {
 
 // A run that the view gives to this node's target, for tests of what it holds.
-inline SlotAssignment MakeOwnedRun(std::uint32_t first,
-                                   std::uint32_t last,
-                                   std::uint64_t fence) {
+inline SlotAssignment MakeOwnedAssignment(std::uint32_t first,
+                                          std::uint32_t last,
+                                          std::uint64_t fence) {
   SlotAssignment run;
   run.range = {first, last};
   run.owner = "self";
@@ -19,10 +19,10 @@
 }
 
 // The same run while its owner is to give it back.
-inline SlotAssignment MakeMovingRun(std::uint32_t first,
-                                    std::uint32_t last,
-                                    std::uint64_t fence) {
-  SlotAssignment run = MakeOwnedRun(first, last, fence);
+inline SlotAssignment MakeMovingAssignment(std::uint32_t first,
+                                           std::uint32_t last,
+                                           std::uint64_t fence) {
+  SlotAssignment run = MakeOwnedAssignment(first, last, fence);
   run.next = {"other", {"t-other", 0}, fence + 1};
   return run;
 }
--- a/modules/transport/async/async_http_server.cc
+++ b/modules/transport/async/async_http_server.cc
@@ -183,7 +183,7 @@
   Task<bool> SendContinue(SessionPointer session,
                           ExchangePointer exchange,
                           Parser& parser,
-                          std::shared_ptr<void>& reservation);
+                          std::shared_ptr<void>& permit);
   Task<> AwaitPipelineCapacity(SessionPointer session, bool may_overlap);
   static Task<> HandleRequest(std::shared_ptr<Implementation> self,
                               SessionPointer session,
@@ -363,12 +363,12 @@
 Task<bool> AsyncHttpServer::Implementation::ReadBody(SessionPointer session,
                                                      ExchangePointer exchange,
                                                      Parser& parser) {
-  std::shared_ptr<void> reservation;
+  std::shared_ptr<void> permit;
   const bool expects_continue =
       parser.get()[http::field::expect] == "100-continue";
   if (expects_continue) {
     const bool is_admitted =
-        co_await SendContinue(session, exchange, parser, reservation);
+        co_await SendContinue(session, exchange, parser, permit);
     if (!is_admitted)
       co_return false;
   }
@@ -393,13 +393,13 @@
     SessionPointer session,
     ExchangePointer exchange,
     Parser& parser,
-    std::shared_ptr<void>& reservation) {
+    std::shared_ptr<void>& permit) {
   // Responses to earlier requests must be sent first.
   co_await AwaitPipelineCapacity(session, false);
   HttpRequest head = HeadOf(parser);
   const std::uint64_t bytes = parser.content_length().value_or(0);
   std::optional<HttpResponse> rejection = co_await m_handler.AdmitBody(
-      std::move(head), bytes, exchange->context, reservation);
+      std::move(head), bytes, exchange->context, permit);
   session->stream.expires_after(m_settings.read_timeout);
   if (rejection) {
     co_await WriteRejection(session, std::move(*rejection));
--- a/modules/transport/async/async_http_server.h
+++ b/modules/transport/async/async_http_server.h
@@ -53,13 +53,13 @@
     // Called for a request with "Expect: 100-continue" before its body is read;
     // the caller has sent none of it yet. A returned response rejects the body:
     // it is sent in place of the request's response, and the connection is
-    // closed. `reservation` is kept until the body has been received or has
+    // closed. `permit` is kept until the body has been received or has
     // failed to arrive.
     virtual Task<std::optional<HttpResponse>> AdmitBody(
         HttpRequest /*head*/,
         std::uint64_t /*bytes*/,
         RequestContext& /*context*/,
-        std::shared_ptr<void>& /*reservation*/) {
+        std::shared_ptr<void>& /*permit*/) {
       co_return std::nullopt;
     }
     // Whether the request may be handled while earlier requests of its
--- a/modules/transport/async/async_http_test.cc
+++ b/modules/transport/async/async_http_test.cc
@@ -75,21 +75,21 @@
       HttpRequest head,
       std::uint64_t /*bytes*/,
       RequestContext& /*context*/,
-      std::shared_ptr<void>& reservation) override {
+      std::shared_ptr<void>& permit) override {
     if (head.target == "/full") {
       HttpResponse rejection;
       rejection.head.status = 503;
       co_return rejection;
     }
-    ++reservations_made;
-    ++open_reservations;
-    reservation = std::shared_ptr<void>(
-        &open_reservations, [](void* open) { --*static_cast<int*>(open); });
+    ++permits_made;
+    ++open_permits;
+    permit = std::shared_ptr<void>(
+        &open_permits, [](void* open) { --*static_cast<int*>(open); });
     co_return std::nullopt;
   }
 
-  int reservations_made = 0;
-  int open_reservations = 0;
+  int permits_made = 0;
+  int open_permits = 0;
   int handled = 0;
   int running = 0;
   int max_running = 0;
@@ -456,7 +456,7 @@
       CHECK(taken.body == "echo:" + request.body);
       CHECK(connection->is_reusable());
     }
-    CHECK(handler.open_reservations == 0);
+    CHECK(handler.open_permits == 0);
     request.target = "/full";
     const HttpResponse refused =
         co_await connection->CallExpectingContinue(request, kTimeout);
@@ -465,13 +465,12 @@
   };
   RunTask(loop, calls);
   CHECK(handler.handled == 2);
-  CHECK(handler.reservations_made == 2);
+  CHECK(handler.permits_made == 2);
 }
 
-// A reservation whose sender disconnects while it waits would be held forever.
-TEST_CASE_FIXTURE(
-    EchoServer,
-    "the reservation of a body is released if its sender leaves") {
+// A permit whose sender disconnects while it waits would be held forever.
+TEST_CASE_FIXTURE(EchoServer,
+                  "the permit of a body is released if its sender leaves") {
   const auto call = [&]() -> Task<> {
     tcp::socket socket(loop);
     co_await socket.async_connect(
@@ -485,14 +484,14 @@
     co_await asio::async_read_until(socket, asio::dynamic_buffer(response),
                                     "\r\n\r\n", asio::use_awaitable);
     CHECK(response.starts_with("HTTP/1.1 100"));
-    CHECK(handler.open_reservations == 1);
+    CHECK(handler.open_permits == 1);
     socket.close();
     asio::steady_timer timer(loop, milliseconds(100));
     co_await timer.async_wait(asio::use_awaitable);
   };
   RunTask(loop, call);
-  CHECK(handler.reservations_made == 1);
-  CHECK(handler.open_reservations == 0);
+  CHECK(handler.permits_made == 1);
+  CHECK(handler.open_permits == 0);
   CHECK(handler.handled == 0);
 }
 
--- a/modules/transport/mesh/request_router.cc
+++ b/modules/transport/mesh/request_router.cc
@@ -152,7 +152,7 @@
 
 bool RequestRouter::CanPipeline(const HttpRequest& request) const {
   const CallerRequestInfo caller =
-      m_dependencies.dialect.ReadCallerRequest(request);
+      m_dependencies.protocol.ReadCallerRequest(request);
   const RouteRule* route =
       m_dependencies.config.FindRoute(caller.host, caller.path);
   return route != nullptr && route->is_idempotent;
@@ -162,7 +162,7 @@
                                          RequestContext& context) {
   const Clock& clock = m_dependencies.clock;
   const CallerRequestInfo caller =
-      m_dependencies.dialect.ReadCallerRequest(request);
+      m_dependencies.protocol.ReadCallerRequest(request);
   const std::shared_ptr<const RoutingConfig> config =
       m_dependencies.config.config();
   RoutedRequest routed;
--- a/modules/transport/mesh/request_router.h
+++ b/modules/transport/mesh/request_router.h
@@ -47,7 +47,7 @@
   struct Dependencies {
     boost::asio::io_context& loop;
     const Clock& clock;
-    const WireProtocol& dialect;
+    const WireProtocol& protocol;
     ConfigFollower& config;
     MeshAgent& agent;
     TargetGateway& gateway;
--- a/modules/transport/mesh/target_controller.cc
+++ b/modules/transport/mesh/target_controller.cc
@@ -136,7 +136,7 @@
   m_may_have_restarted = false;
   m_sequence = report.sequence;
   m_concurrency = report.concurrency;
-  m_warm_up_until = now + report.cold_left;
+  m_warm_up_until = now + report.warm_up_left;
   m_last_contact = now;
   m_last_report = now;
   m_unanswered_calls = 0;
@@ -174,22 +174,22 @@
     m_listener.OnTargetChanged();
 }
 
-bool TargetController::HasStatement() const {
+bool TargetController::HasGrantReply() const {
   return m_polled_holds.HasPendingChanges() && m_clock.Now() < m_lease_until;
 }
 
 void TargetController::WakeWaitingReport() {
-  if (m_waiting_report && HasStatement())
+  if (m_waiting_report && HasGrantReply())
     m_waiting_report->timer.cancel();
 }
 
 Task<std::optional<PollingHoldTracker::GrantReply>>
-TargetController::AwaitStatement(const TargetReport& report) {
+TargetController::AwaitGrantReply(const TargetReport& report) {
   if (!m_settings.grants_by_report || !m_is_sharded || !report.holds)
     co_return std::nullopt;
   const Clock::TimePoint reported_at = m_last_report;
   const std::uint64_t incarnation_number = m_incarnation_number;
-  if (!HasStatement()) {
+  if (!HasGrantReply()) {
     auto waiting_report = std::make_shared<WaitingReport>(m_loop);
     waiting_report->timer.expires_after(
         report.is_draining ? kDrainingGrantReplyWait : kGrantReplyWait);
--- a/modules/transport/mesh/target_controller.h
+++ b/modules/transport/mesh/target_controller.h
@@ -85,7 +85,7 @@
   // that was accepted. Waits for a change, so that a range that is added or
   // removed need not wait for the next report. Empty: the reply carries no
   // ranges.
-  Task<std::optional<PollingHoldTracker::GrantReply>> AwaitStatement(
+  Task<std::optional<PollingHoldTracker::GrantReply>> AwaitGrantReply(
       const TargetReport& report);
   // The target leaves without having reported that it drains.
   void OnLeave(const std::string& target_id);
@@ -100,7 +100,7 @@
   void SetLease(Clock::TimePoint until);
   // Upper bound of any lease of this node, including those of its earlier
   // processes. Must be set before a view that assigns keys is applied.
-  void SetLongestLease(Clock::Duration max_lease) {
+  void SetMaxLease(Clock::Duration max_lease) {
     m_holds.SetMaxLease(max_lease);
   }
 
@@ -126,7 +126,7 @@
   std::uint32_t concurrency() const { return m_concurrency; }
   const HttpAddress& address() const { return m_settings.address; }
   std::size_t held_range_count() const { return m_holds.range_count(); }
-  bool HasNothingToGiveBack() const { return m_holds.HasReturnedAllRanges(); }
+  bool HasReturnedAllRanges() const { return m_holds.HasReturnedAllRanges(); }
 
   Heartbeat::Target MakeHeartbeatTarget();
   std::vector<Heartbeat::ReleasedRange> MakeHeartbeatReleases();
@@ -161,7 +161,7 @@
   void BeginIncarnation(const TargetReport& report);
   void SetState(State state, const char* reason);
   void ApplyReportedHolds(const TargetReport& report);
-  bool HasStatement() const;
+  bool HasGrantReply() const;
   void WakeWaitingReport();
   void CheckSilence();
   // A connection to the target broke, so the target may have restarted. A
--- a/modules/transport/mesh/target_gateway.cc
+++ b/modules/transport/mesh/target_gateway.cc
@@ -81,7 +81,7 @@
   AdmissionGuard(const AdmissionGuard&) = delete;
   AdmissionGuard& operator=(const AdmissionGuard&) = delete;
 
-  void SetWork(Clock::Duration work) { m_work = work; }
+  void SetServiceTime(Clock::Duration work) { m_work = work; }
 
  private:
   TargetGateway& m_gateway;
@@ -317,8 +317,8 @@
     const TargetResponseInfo response_info =
         m_protocol.ReadTargetResponse(response);
     if (!response_info.did_not_run) {
-      guard.SetWork(m_clock.Now() - started);
-      m_has_measured_work = true;
+      guard.SetServiceTime(m_clock.Now() - started);
+      m_has_measured_service_time = true;
       if (response_info.is_authentic)
         m_controller.OnIncarnationConfirmed();
       m_poison_detector->OnFinished(
@@ -447,7 +447,7 @@
 }
 
 std::uint32_t TargetGateway::mean_service_time_us() const {
-  if (!m_has_measured_work)
+  if (!m_has_measured_service_time)
     return 0;
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(
--- a/modules/transport/mesh/target_gateway.h
+++ b/modules/transport/mesh/target_gateway.h
@@ -126,7 +126,7 @@
   std::vector<BrokenConnection> m_broken_connections;
   RequestTicket m_next_ticket{1};
   std::map<std::uint32_t, std::uint32_t> m_slot_request_counts;
-  bool m_has_measured_work = false;
+  bool m_has_measured_service_time = false;
   Counts m_counts;
 };
 
--- a/modules/transport/mesh/target_report.h
+++ b/modules/transport/mesh/target_report.h
@@ -22,7 +22,7 @@
   // The target is about to leave and wants no new requests.
   bool is_draining = false;
   // Time left of its warm-up, in which it is slow.
-  std::chrono::milliseconds cold_left{0};
+  std::chrono::milliseconds warm_up_left{0};
   // Increases with each report of one incarnation.
   std::uint64_t sequence = 0;
   // The ranges that it holds, on platforms where targets report them. Empty if
--- a/programs/citrongrade-router/report_handler.cc
+++ b/programs/citrongrade-router/report_handler.cc
@@ -54,7 +54,7 @@
                    report.sequence);
       co_return Respond(kOk);
     }
-    const auto reply = co_await m_target_controller.AwaitStatement(report);
+    const auto reply = co_await m_target_controller.AwaitGrantReply(report);
     co_return Respond(kOk, TargetReportCodec::EncodeReply(reply));
   } catch (const platform::InvalidReportError& error) {
     spdlog::warn("event=target-report-unreadable target={} reason=\"{}\"", id,
--- a/programs/citrongrade-router/router_node.cc
+++ b/programs/citrongrade-router/router_node.cc
@@ -342,7 +342,7 @@
 }
 
 void RouterNode::Implementation::OnViewChanged() {
-  m_target_controller.SetLongestLease(m_agent.max_lease());
+  m_target_controller.SetMaxLease(m_agent.max_lease());
   m_target_controller.OnView(m_agent.view(), m_agent.identity().address);
   m_chooser.Refresh(m_agent.view());
   const std::size_t nodes =
@@ -422,7 +422,7 @@
   const auto elapsed = [this, start] { return m_clock.Now() - start; };
   m_caller_server.DisableKeepAlive();
   while (elapsed() < kReadinessPropagationDelay ||
-         (!m_target_controller.HasNothingToGiveBack() &&
+         (!m_target_controller.HasReturnedAllRanges() &&
           elapsed() < kMaxHandoverTime)) {
     timer.expires_after(kTickInterval);
     co_await timer.async_wait(boost::asio::use_awaitable);
