--- a/modules/transport/async/async_http_test.cc
+++ b/modules/transport/async/async_http_test.cc
@@ -343,7 +343,7 @@
     server.emplace(loop, clock, settings, handler);
   }
 
-  std::string SendPipelined(const std::string& text, const std::string& end) {
+  std::string SendAndReceive(const std::string& text, const std::string& end) {
     std::string responses;
     RunTask(loop, [&] { return SendPipelined(loop, text, end, responses); });
     return responses;
@@ -361,9 +361,9 @@
 TEST_CASE_FIXTURE(PipeliningFixture,
                   "pipelined requests run concurrently, answered in order") {
   const std::string responses =
-      SendPipelined(Post("/ahead/pause", "1") + Post("/ahead", "2") +
-                        Post("/ahead/pause", "3"),
-                    "echo:3");
+      SendAndReceive(Post("/ahead/pause", "1") + Post("/ahead", "2") +
+                         Post("/ahead/pause", "3"),
+                     "echo:3");
   CHECK(handler.max_running >= 2);
   const std::size_t first = responses.find("echo:1");
   const std::size_t second = responses.find("echo:2");
@@ -374,7 +374,7 @@
 
 TEST_CASE_FIXTURE(PipeliningFixture,
                   "a request that is not idempotent waits for earlier ones") {
-  const std::string responses = SendPipelined(
+  const std::string responses = SendAndReceive(
       Post("/ahead/pause", "1") + Post("/once/pause", "2"), "echo:2");
   CHECK(handler.max_running == 1);
   CHECK(responses.find("echo:2") != std::string::npos);
@@ -387,7 +387,7 @@
   std::string text;
   for (int i = 0; i < 30; ++i)
     text += Post("/ahead/pause", "x" + std::to_string(i) + ".");
-  const std::string responses = SendPipelined(text, "echo:x29.");
+  const std::string responses = SendAndReceive(text, "echo:x29.");
   CHECK(handler.max_running <= 8);
   CHECK(responses.find("echo:x29.") != std::string::npos);
 }
@@ -403,7 +403,7 @@
     server->DisableKeepAlive();
   });
   const std::string responses =
-      SendPipelined(Post("/ahead/pause", "1") + Post("/once", "2"), "echo:2");
+      SendAndReceive(Post("/ahead/pause", "1") + Post("/once", "2"), "echo:2");
   CHECK(responses.find("echo:1") != std::string::npos);
   CHECK(responses.find("Connection: close") != std::string::npos);
   CHECK(responses.find("echo:2") == std::string::npos);
@@ -414,7 +414,7 @@
                   "a stopping server starts no pipelined request") {
   server->DisableKeepAlive();
   const std::string responses =
-      SendPipelined(Post("/ahead/pause", "1") + Post("/ahead", "2"), "echo:2");
+      SendAndReceive(Post("/ahead/pause", "1") + Post("/ahead", "2"), "echo:2");
   CHECK(responses.find("echo:1") != std::string::npos);
   CHECK(handler.handled == 1);
 }
