--- a/modules/coordination/coordinator_dump.h
+++ b/modules/coordination/coordinator_dump.h
@@ -10,8 +10,8 @@
 
 #include "modules/state/identifiers.h"
 #include "modules/state/member_id.h"
-#include "modules/state/service_id.h"
 #include "modules/state/owned_slot_range.h"
+#include "modules/state/service_id.h"
 
 namespace citrongrade {
 
--- a/modules/protocol/mesh_json.h
+++ b/modules/protocol/mesh_json.h
@@ -6,10 +6,10 @@
 #include <vector>
 
 #include "modules/state/member_id.h"
+#include "modules/state/owned_slot_range.h"
 #include "modules/state/records/config_kind.h"
 #include "modules/state/records/join_record.h"
 #include "modules/state/service_id.h"
-#include "modules/state/owned_slot_range.h"
 
 namespace citrongrade {
 
